--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,4 +1,4 @@
-//! Side effects that the node may request from its I/O, and the ids that both use.
+//! Side effects that the node requests from its I/O, and the ids that the node and its I/O share.
 
 #![warn(missing_docs)]
 
@@ -9,29 +9,29 @@
 use std::fmt;
 use std::sync::{Arc, Weak};
 
-/// A load balancer's connection; never reused.
+/// Id of a connection from a load balancer; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// One backend call; never reused.
+/// Id of one backend call; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// A connection to the backend.
+/// One connection to the backend, identified by its link and its number on that link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendLink {
-    /// Its index among the links.
+    /// Index of the link, from 0.
     pub place: usize,
-    /// How many connections were made there before.
+    /// Number of connections that the link had before this one.
     pub generation: u64,
 }
 
-/// Interest in a backend call: it may be written until this is dropped.
+/// Interest in a backend call: the call may be written until this value is dropped.
 #[derive(Debug, Default)]
 pub struct CallInterest(Arc<()>);
 
 impl CallInterest {
-    /// For the thread that writes the call.
+    /// Returns a token for the thread that writes the call.
     pub fn token(&self) -> CallInterestToken {
         CallInterestToken(Arc::downgrade(&self.0))
     }
@@ -42,36 +42,38 @@
 pub struct CallInterestToken(Weak<()>);
 
 impl CallInterestToken {
-    /// Whether its execution still waits for it.
+    /// Returns whether the execution still waits for the call.
     pub fn is_wanted(&self) -> bool {
         self.0.strong_count() > 0
     }
 }
 
-/// How a connection is to be closed.
+/// Conditions under which a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Close {
-    /// Events of the connection that the node has handled; if the reader handed on more, the close
-    /// is void.
+    /// Number of events of the connection that the node has handled. If the reader has passed on
+    /// more events than this, the close has no effect.
     pub events_handled: u64,
-    /// How long the rest of a request that has come in part is waited for.
+    /// Longest wait, in nanoseconds, for the rest of a partially received request.
     pub partial_request_wait: Nanos,
 }
 
-/// What the node requests from its I/O. No call blocks.
+/// The I/O operations that the node requests. No method blocks.
 pub trait Actions {
-    /// Write a reply on a load balancer's connection.
+    /// Writes a reply on a load balancer's connection.
     fn send_reply(&mut self, connection_id: ConnectionId, reply: Reply);
-    /// Close a connection after what was handed over is written, unless more has come on it.
+    /// Closes a connection once the replies passed to [`Actions::send_reply`] are written, unless
+    /// more events have arrived on it than [`Close::events_handled`].
     fn close_connection(&mut self, connection_id: ConnectionId, close: Close);
-    /// Read nothing more on a connection, but what a peer that is not paced has sent by now.
+    /// Stops reading on a connection. Bytes that have already arrived are still read, unless the
+    /// peer is paced.
     fn stop_reading(&mut self, connection_id: ConnectionId);
-    /// Pause this long before each read on a connection.
+    /// Pauses for `pause` nanoseconds between reads on a connection; 0 ends the pacing.
     fn pace_reading(&mut self, connection_id: ConnectionId, pause: Nanos);
-    /// Write a line to the executor.
+    /// Writes a command line to the executor.
     fn send_executor_command(&mut self, line: String);
-    /// Send a backend call over the link at this index, if it is still wanted when its turn comes;
-    /// false if the link's queue is full.
+    /// Queues a backend call on the link with this index. The call is written only if `token` still
+    /// reports it as wanted when its turn comes. Returns false if the link's queue is full.
     fn send_backend_call(
         &mut self,
         link: usize,
@@ -80,20 +82,21 @@
         bytes: Vec<u8>,
         token: CallInterestToken,
     ) -> bool;
-    /// Tell the backend, over the link that a call was sent on, that no reply is awaited any more.
+    /// Tells the backend that a call is abandoned, over the link on which the call was sent.
     fn cancel_backend_call(&mut self, link: usize, bytes: Vec<u8>);
-    /// Close the link at this index: no reply is awaited on it.
+    /// Closes the connections of the link with this index. The caller awaits no reply on it.
     fn close_backend_link(&mut self, link: usize);
-    /// From now on peers are reached at these addresses; gives whether the executor's is another.
+    /// Sets the addresses at which peers are reached from now on. Returns whether the executor's
+    /// address has changed.
     fn change_peers(&mut self, peers: PeerAddresses) -> bool;
-    /// Close the link to the executor; another one takes its place.
+    /// Closes the connection to the executor; a new connection replaces it.
     fn reconnect_executor(&mut self);
-    /// Tell the service registry that the node drains.
+    /// Tells the service registry that the node drains.
     fn announce_drain(&mut self);
-    /// Accept what waits in the listen backlog, and then no more connections.
+    /// Accepts the connections in the listen backlog and none after them.
     fn stop_listening(&mut self);
-    /// Tell the cluster how this node is; nothing where there is none.
+    /// Passes this node's state to the cluster; does nothing on a node that is in no cluster.
     fn update_cluster(&mut self, update: ClusterUpdate);
-    /// Trace a step of a request.
+    /// Traces a step of a request.
     fn trace_step(&mut self, correlation_id: &str, step: fmt::Arguments<'_>);
 }
--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -1,38 +1,38 @@
-//! The protocol of backend calls: lines that end in CR LF, and bodies whose length the line before
-//! them states.
+//! The protocol of backend calls: lines that end in CR LF, some of them followed by a body whose
+//! length the line states.
 //!
-//! [`Parser`] is fed bytes split anywhere and knows no socket, clock or thread.
+//! [`Parser`] accepts bytes split at any point and uses no socket, clock or thread.
 
 use thiserror::Error;
 
-/// The longest line of a reply, in bytes.
+/// Maximum length of a reply's line, CR LF included, in bytes.
 const LINE_MAX: usize = 256;
-/// The largest body of a reply, in bytes.
+/// Maximum length of a reply's body, in bytes.
 const BODY_MAX: usize = 8 * 1024;
 
-/// Words that begin the lines of calls.
+// First words of the lines that the node sends.
 const INVOKE: &str = "invoke";
 const CANCEL: &str = "cancel";
 
 /// How a backend call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a reply.
+    /// The backend replied with a body.
     Ok,
-    /// It was rejected and did not run.
+    /// The backend rejected the call and did not run it.
     Overload,
-    /// It failed, and may have had its effect.
+    /// The call failed and may have had its effect.
     Internal,
-    /// It ran out of time, or its execution has ended.
+    /// The call ran out of time, or its execution has ended.
     Deadline,
-    /// No execution waits for it.
+    /// No execution waits for the reply.
     Stale,
 }
 
 impl Outcome {
-    /// The outcome that a word on the wire stands for.
-    fn from_word(word: &str) -> Option<Outcome> {
-        Some(match word {
+    /// Decodes the outcome in a reply's line.
+    fn decode(name: &str) -> Option<Outcome> {
+        Some(match name {
             "ok" => Outcome::Ok,
             "overload" => Outcome::Overload,
             "internal" => Outcome::Internal,
@@ -46,15 +46,15 @@
 /// A reply to a backend call.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// The id of the call.
+    /// Id of the call, as in its [`invoke`] line.
     pub id: String,
-    /// How it ended.
+    /// How the call ended.
     pub outcome: Outcome,
-    /// What the execution is given; empty unless the call succeeded.
+    /// Bytes for the execution; empty unless the call succeeded.
     pub body: Vec<u8>,
 }
 
-/// Why the replies on a connection can't be read on.
+/// Why no further replies can be read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.as_str())]
 pub enum ReadError {
@@ -62,16 +62,16 @@
     MissingLineEnd,
     /// A line is longer than 256 bytes.
     LineTooLong,
-    /// A line is no head of a reply.
+    /// A line is not the head of a reply.
     UnknownLine,
     /// The body of a reply is longer than 8 KiB.
     ReplyTooLarge,
-    /// A part of a reply was read, and its rest did not come in time.
+    /// Part of a reply was read, and the rest did not arrive in time.
     CutShort,
 }
 
 impl ReadError {
-    /// The text for logs and counters.
+    /// Returns the text for logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             ReadError::MissingLineEnd => "no CR LF after a reply",
@@ -83,7 +83,7 @@
     }
 }
 
-/// Reads the replies on one connection.
+/// Parses the replies on one connection.
 ///
 /// ```
 /// use madderpoint_node::backend::{Outcome, Parser, invoke};
@@ -96,31 +96,32 @@
 /// ```
 #[derive(Default)]
 pub struct Parser {
-    /// The part of a line that was read.
+    /// Incomplete line that has been read so far.
     line: Vec<u8>,
-    /// A reply whose body is being read, and the bytes that are missing, CR LF included.
-    open: Option<(Reply, usize)>,
+    /// Reply whose body is being read, and the number of missing bytes, CR LF included.
+    partial_reply: Option<(Reply, usize)>,
 }
 
 impl Parser {
-    /// Whether a part of a reply was read, and its rest was not.
+    /// Returns whether a reply has been read only in part.
     pub fn is_partial(&self) -> bool {
-        !self.line.is_empty() || self.open.is_some()
+        !self.line.is_empty() || self.partial_reply.is_some()
     }
 
-    /// Reads the next bytes, and passes the replies that they complete to the sink.
+    /// Parses the next bytes and passes each reply that they complete to `sink`. After an error the
+    /// connection cannot be read any further.
     pub fn feed(
         &mut self,
         mut bytes: &[u8],
         sink: &mut impl FnMut(Reply),
     ) -> Result<(), ReadError> {
         while !bytes.is_empty() {
-            if let Some((mut reply, missing)) = self.open.take() {
+            if let Some((mut reply, missing)) = self.partial_reply.take() {
                 let length = bytes.len().min(missing);
                 reply.body.extend_from_slice(&bytes[..length]);
                 bytes = &bytes[length..];
                 if length < missing {
-                    self.open = Some((reply, missing - length));
+                    self.partial_reply = Some((reply, missing - length));
                 } else if reply.body.ends_with(b"\r\n") {
                     reply.body.truncate(reply.body.len() - 2);
                     sink(reply);
@@ -138,10 +139,10 @@
             bytes = &bytes[length..];
             if end.is_some() {
                 let line = std::mem::take(&mut self.line);
-                let (reply, len) = head(&line).ok_or(ReadError::UnknownLine)?;
+                let (reply, len) = decode_head(&line).ok_or(ReadError::UnknownLine)?;
                 match len {
                     Some(len) if len > BODY_MAX => return Err(ReadError::ReplyTooLarge),
-                    Some(len) => self.open = Some((reply, len + 2)),
+                    Some(len) => self.partial_reply = Some((reply, len + 2)),
                     None => sink(reply),
                 }
             }
@@ -150,12 +151,13 @@
     }
 }
 
-/// Decodes the line of a reply, and the length of the body that follows it.
-fn head(line: &[u8]) -> Option<(Reply, Option<usize>)> {
+/// Decodes the line of a reply. The second value is the length of the body that follows the line,
+/// if one does.
+fn decode_head(line: &[u8]) -> Option<(Reply, Option<usize>)> {
     let text = str::from_utf8(line.strip_suffix(b"\r\n")?).ok()?;
     let mut words = text.split(' ');
-    let (id, word, len) = (words.next()?, words.next()?, words.next());
-    let outcome = Outcome::from_word(word)?;
+    let (id, outcome, len) = (words.next()?, words.next()?, words.next());
+    let outcome = Outcome::decode(outcome)?;
     if words.next().is_some() || len.is_some() != (outcome == Outcome::Ok) {
         return None;
     }
@@ -170,7 +172,7 @@
     ))
 }
 
-/// The bytes of a call, to be answered within `wait_ms` milliseconds.
+/// Encodes a call that the backend answers within `wait_ms` milliseconds.
 pub fn invoke(id: &str, wait_ms: u64, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{INVOKE} {id} {wait_ms} {}\r\n", body.len()).into_bytes();
     bytes.extend_from_slice(body);
@@ -178,7 +180,7 @@
     bytes
 }
 
-/// The bytes that abandon a call.
+/// Encodes the line that abandons a call.
 pub fn cancel(id: &str) -> Vec<u8> {
     format!("{CANCEL} {id}\r\n").into_bytes()
 }
--- a/crates/node/src/backend/tests.rs
+++ b/crates/node/src/backend/tests.rs
@@ -9,7 +9,7 @@
     (replies, result)
 }
 
-const TALK: &[u8] =
+const REPLIES: &[u8] =
     b"9b1f03aa5c7e2d41 ok 7\r\na\r\nok b\r\n00 overload\r\n01 internal\r\n02 deadline\r\n\
     03 stale\r\n04 ok 0\r\n\r\n";
 
@@ -28,14 +28,14 @@
         reply("03", Outcome::Stale, b""),
         reply("04", Outcome::Ok, b""),
     ];
-    assert_eq!(read(&[TALK]), (expected, Ok(())));
-    same_at_every_split(TALK, read);
+    assert_eq!(read(&[REPLIES]), (expected, Ok(())));
+    same_at_every_split(REPLIES, read);
 }
 
 #[test]
-fn broken_framing_ends_the_connection() {
+fn malformed_replies_are_rejected() {
     let long = [b'x'; LINE_MAX + 1];
-    for talk in [
+    for bytes in [
         &b"00 ok 2\r\nabc\r\n"[..],
         b"00 ok\r\n",
         b"00 ok -1\r\n",
@@ -47,23 +47,23 @@
         &long,
     ] {
         assert!(
-            read(&[talk]).1.is_err(),
+            read(&[bytes]).1.is_err(),
             "{}",
-            String::from_utf8_lossy(talk)
+            String::from_utf8_lossy(bytes)
         );
     }
 }
 
 #[test]
-fn damage_ends_in_replies_or_an_error() {
-    let broke = damaged(TALK)
+fn damaged_input_yields_replies_or_an_error() {
+    let errors = damaged(REPLIES)
         .filter(|bytes| read(&[&bytes[..]]).1.is_err())
         .count();
-    assert!(broke > 100, "{broke}");
+    assert!(errors > 100, "{errors}");
 }
 
 #[test]
-fn calls_state_their_length() {
+fn invoke_lines_state_the_body_length() {
     assert_eq!(
         invoke("00aa", 250, b"a\r\nb"),
         b"invoke 00aa 250 4\r\na\r\nb\r\n"
--- a/crates/node/src/executor.rs
+++ b/crates/node/src/executor.rs
@@ -1,8 +1,9 @@
 //! The protocol of the connection to the executor: JSON objects, one on each line. The executor
 //! sends notices, most of them numbered; the node sends commands.
 //!
-//! The [`Reader`] knows no socket, clock or thread. It outlives connections: on each new one the
-//! executor is asked for the notices after the last that was read, and each is passed on once.
+//! The [`Reader`] uses no socket, clock or thread. It outlives connections: on each new connection
+//! the node requests the notices after the last one that was read, and the reader passes each
+//! notice on once.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -11,10 +12,10 @@
 use std::fmt::Write;
 use thiserror::Error;
 
-/// The longest line, in bytes.
+/// Maximum length of a line, in bytes.
 const LINE_MAX: usize = 16 * 1024;
 
-/// Names of notices on the wire, and the values of their status.
+/// Names of notices on the wire, and the values of their `status` field.
 mod notice_name {
     pub const BOOTED: &str = "BOOTED";
     pub const REAP: &str = "REAP";
@@ -44,29 +45,29 @@
 /// How an execution ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// With a result.
+    /// The execution returned a result.
     Ok,
-    /// With an error.
+    /// The execution failed.
     Error,
-    /// It was preempted, or came to a backend call after its client had gone.
+    /// The execution was preempted, or reached a backend call after its client had disconnected.
     Stopped,
-    /// It was never started.
+    /// The execution was never started.
     NeverStarted,
 }
 
-/// Something that the executor should not have sent.
+/// A violation of the protocol by the executor that does not end the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Anomaly {
-    /// A line that is no known notice.
+    /// A line that is not a known notice.
     UnreadableLine,
-    /// A notice whose number was read before.
+    /// A notice with a number that was read before.
     RepeatedNotice,
-    /// A notice that a new connection should have begun with.
+    /// A notice that the executor should have repeated at the start of a new connection.
     LostNotice,
 }
 
 impl Anomaly {
-    /// The name of its counter.
+    /// Returns the name of the counter for this anomaly.
     pub fn as_str(self) -> &'static str {
         match self {
             Anomaly::UnreadableLine => "kernel: lines that make no sense",
@@ -76,62 +77,62 @@
     }
 }
 
-/// What the executor sends.
+/// A message from the executor.
 #[derive(Debug, PartialEq)]
 pub enum Notice {
     /// The executor has been up for `up_ms` milliseconds.
     Booted {
-        /// Whether it started without its caches.
+        /// Whether the executor started with cold caches.
         cold: bool,
-        /// Milliseconds since its start.
+        /// Milliseconds since the executor's start.
         up_ms: f64,
     },
     /// An execution has ended.
     ExecutionEnded {
         /// The request's correlation id.
         rid: String,
-        /// How it ended.
+        /// How the execution ended.
         end: End,
-        /// Milliseconds that it took, by the executor's account.
+        /// Duration of the execution as the executor measured it, in milliseconds.
         time_ms: f64,
-        /// The result; empty unless it ended with one.
+        /// The result; empty unless `end` is [`End::Ok`].
         body: Vec<u8>,
     },
     /// An execution waits for a backend call.
     BackendCallNeeded {
-        /// The notice's number, which a refusal names.
+        /// The notice's number, which [`Command::ResumeWithoutReply`] refers to.
         no: u64,
         /// The request's correlation id.
         rid: String,
-        /// What is to be sent to the backend.
+        /// Body of the call to the backend.
         body: Vec<u8>,
     },
     /// The executor gauges.
     Info {
-        /// The number of the command that asked for them.
+        /// The number in the [`Command::SysInfo`] that requested the gauges.
         mark: u64,
-        /// Their values, in the order of the deployment's settings.
+        /// Values of the gauges, in the order of the deployment configuration.
         values: Vec<f64>,
     },
     /// The work of a deep health check has ended.
     HealthCheckDone {
-        /// The number of the command that asked for it.
+        /// The number in the [`Command::HealthCheck`] that requested the work.
         mark: u64,
-        /// Whether it succeeded.
+        /// Whether the work succeeded.
         ok: bool,
     },
-    /// A command was not carried out.
+    /// The executor did not carry out a command.
     CommandRefused {
         /// The command's name.
         command: String,
-        /// The request's correlation id; empty where the command concerned none.
+        /// The request's correlation id; empty if the command concerned no request.
         rid: String,
     },
-    /// Something that the executor should not have sent, and how often.
+    /// An anomaly, and the number of its occurrences.
     Odd(Anomaly, u64),
 }
 
-/// Why the connection can't be read on; it must be renewed.
+/// Why a connection cannot be read any further and must be replaced by a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.as_str())]
 pub enum ReadError {
@@ -142,7 +143,7 @@
 }
 
 impl ReadError {
-    /// The text for logs.
+    /// Returns the text for logs.
     pub fn as_str(self) -> &'static str {
         match self {
             ReadError::LineTooLong => "line too long",
@@ -169,7 +170,7 @@
     v: Option<Vec<f64>>,
 }
 
-/// Reads the notices of all connections in a process's life.
+/// Parses the notices of all connections of this process to the executor.
 ///
 /// ```
 /// use madderpoint_node::executor::{Command, End, Notice, Reader};
@@ -182,27 +183,29 @@
 /// }
 /// let rid = "9b1f".to_owned();
 /// assert_eq!(notices, [Notice::ExecutionEnded { rid, end: End::NeverStarted, time_ms: 2.0, body: vec![] }]);
-/// assert_eq!(reader.open(), 1); // a new link asks for what came after it
+/// assert_eq!(reader.open(), 1); // a new connection requests the notices after it
 /// ```
 #[derive(Default)]
 pub struct Reader {
-    /// The part of a line that was read.
+    /// Incomplete line that has been read so far.
     line: Vec<u8>,
-    /// The number of the last notice that was read.
-    last: u64,
-    /// Whether no numbered notice was read on this connection.
+    /// Number of the last notice that was read.
+    last_notice: u64,
+    /// Whether no numbered notice has been read on this connection yet.
     is_fresh: bool,
 }
 
 impl Reader {
-    /// A new connection begins. Gives the number of the last notice that was read.
+    /// Starts reading a new connection. Returns the number of the last notice that was read, for
+    /// [`Command::Open`]; 0 if none was read.
     pub fn open(&mut self) -> u64 {
         self.line.clear();
         self.is_fresh = true;
-        self.last
+        self.last_notice
     }
 
-    /// Reads the next bytes, and passes each notice to the sink once.
+    /// Parses the next bytes and passes each notice to `sink` once, also if it was sent on several
+    /// connections.
     pub fn feed(
         &mut self,
         mut bytes: &[u8],
@@ -212,7 +215,7 @@
             let (rest, next) = (&bytes[..end], &bytes[end + 1..]);
             bytes = next;
             if self.line.is_empty() {
-                self.read_line(rest, sink)?; // most lines come whole and are read in place
+                self.read_line(rest, sink)?; // most lines arrive whole and are parsed in place
                 continue;
             }
             let mut line = std::mem::take(&mut self.line);
@@ -236,20 +239,20 @@
             return Ok(());
         };
         if let Some(no) = parsed.no {
-            if no <= self.last {
+            if no <= self.last_notice {
                 sink(Notice::Odd(Anomaly::RepeatedNotice, 1));
                 return Ok(());
             }
-            let gap = no - self.last - 1;
-            if gap > 0 && !self.is_fresh {
+            let lost = no - self.last_notice - 1;
+            if lost > 0 && !self.is_fresh {
                 return Err(ReadError::MissingNotice);
             }
-            if gap > 0 {
-                sink(Notice::Odd(Anomaly::LostNotice, gap));
+            if lost > 0 {
+                sink(Notice::Odd(Anomaly::LostNotice, lost));
             }
-            (self.last, self.is_fresh) = (no, false);
+            (self.last_notice, self.is_fresh) = (no, false);
         }
-        match notice(parsed) {
+        match decode_notice(parsed) {
             Some(Some(notice)) => sink(notice),
             Some(None) => {}
             None => sink(Notice::Odd(Anomaly::UnreadableLine, 1)),
@@ -258,9 +261,9 @@
     }
 }
 
-/// Decodes a line: `None` if it is no known notice, `Some(None)` if it is a notice without meaning
-/// for the node.
-fn notice(line: Line<'_>) -> Option<Option<Notice>> {
+/// Decodes a line. Returns `None` if the line is not a known notice, and `Some(None)` if the notice
+/// does not concern the node.
+fn decode_notice(line: Line<'_>) -> Option<Option<Notice>> {
     let rid = line.rid.map(Cow::into_owned);
     let mark = line.mark.and_then(|m| m.parse().ok());
     let body = |b64: Option<Cow<'_, str>>| STANDARD.decode(b64?.as_bytes()).ok();
@@ -270,7 +273,7 @@
             up_ms: line.time_ms?.max(0.0),
         },
         notice_name::REAP => {
-            // Whatever its status, the execution is over: without a result that can be read it
+            // The execution has ended, whatever the status. Without a readable result it counts as
             // failed.
             let (end, body) = match (&*line.status?, body(line.b64)) {
                 (notice_name::OK, Some(body)) => (End::Ok, body),
@@ -307,12 +310,12 @@
     }))
 }
 
-/// What the executor is asked for.
+/// A message to the executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command<'a> {
-    /// Begin a connection: send the notices after the one of this number.
+    /// Begins a connection and requests the notices after the one with this number.
     Open(u64),
-    /// Start the execution of a request.
+    /// Starts the execution of a request.
     StartExecution {
         /// The request's correlation id.
         rid: &'a str,
@@ -321,35 +324,35 @@
         /// The request's body.
         body: &'a [u8],
     },
-    /// Stop the execution of the request with this correlation id.
+    /// Stops the execution of the request with this correlation id.
     Preempt(&'a str),
-    /// Continue an execution with the reply to its backend call.
+    /// Continues an execution with the reply to its backend call.
     ResumeWithReply {
         /// The request's correlation id.
         rid: &'a str,
-        /// The reply.
+        /// Body of the reply.
         body: &'a [u8],
     },
-    /// Continue an execution without the backend call that it asked for.
+    /// Continues an execution without the backend call that it requested.
     ResumeWithoutReply {
         /// The request's correlation id.
         rid: &'a str,
-        /// The number of the notice that asked for it.
+        /// The number of the notice that requested the call.
         no: u64,
     },
-    /// Send the executor gauges; the number comes back with them.
+    /// Requests the executor gauges; the answer carries the same number.
     SysInfo(u64),
-    /// Do the work of a deep health check; the number comes back with its result.
+    /// Requests the work of a deep health check; the answer carries the same number.
     HealthCheck(u64),
 }
 
 impl Command<'_> {
-    /// Its line, with the line feed.
+    /// Encodes the command as a line that ends in a line feed.
     pub fn line(&self) -> String {
         use command_name::{IODONE, NOIO, OPEN, POST, PREEMPT, SCHED, SYSINFO};
         let mut line = String::with_capacity(64);
         let quoted = |text: &str| serde_json::Value::from(text).to_string();
-        let done = match *self {
+        let written = match *self {
             Command::Open(no) => write!(line, r#"{{"t":"{OPEN}","no":{no}}}"#),
             Command::StartExecution { rid, route, body } => {
                 let (route, body) = (quoted(route), STANDARD.encode(body));
@@ -372,7 +375,7 @@
             Command::SysInfo(mark) => write!(line, r#"{{"t":"{SYSINFO}","mark":"{mark}"}}"#),
             Command::HealthCheck(mark) => write!(line, r#"{{"t":"{POST}","mark":"{mark}"}}"#),
         };
-        debug_assert!(done.is_ok(), "a string takes all that is written");
+        debug_assert!(written.is_ok(), "writing to a string cannot fail");
         line.push('\n');
         line
     }
--- a/crates/node/src/executor/tests.rs
+++ b/crates/node/src/executor/tests.rs
@@ -16,7 +16,7 @@
     (notices, result)
 }
 
-const TALK: &str = concat!(
+const NOTICES: &str = concat!(
     "{\"t\":\"BOOTED\",\"status\":\"COLD\",\"time_ms\":12.5}\n",
     "{\"t\":\"IOREQ\",\"no\":1,\"rid\":\"9b1f03aa5c7e2d41\",\"b64\":\"AAH/\"}\n",
     "{\"t\":\"DMESG\",\"no\":2,\"status\":\"a \\u0022remark\\u0022\"}\n",
@@ -55,35 +55,43 @@
         },
         Notice::HealthCheckDone { mark: 8, ok: false },
     ];
-    assert_eq!(read(&[TALK.as_bytes()]), (expected, Ok(())));
-    same_at_every_split(TALK.as_bytes(), read);
+    assert_eq!(read(&[NOTICES.as_bytes()]), (expected, Ok(())));
+    same_at_every_split(NOTICES.as_bytes(), read);
 }
 
-fn moot(no: u64) -> String {
+fn never_started_line(no: u64) -> String {
     format!("{{\"t\":\"REAP\",\"no\":{no},\"rid\":\"aa\",\"status\":\"MOOT\",\"time_ms\":0}}\n")
 }
 
 #[test]
-fn notices_replayed_after_a_break_are_read_once() {
+fn notices_repeated_on_a_new_connection_are_passed_on_once() {
     let mut reader = Reader::default();
     reader.open();
-    let (first, _) = feed(&mut reader, &(moot(1) + &moot(2) + &moot(3)[..20])); // cut in the middle of a line
+    // The first connection ends in the middle of a line.
+    let (first, _) = feed(
+        &mut reader,
+        &(never_started_line(1) + &never_started_line(2) + &never_started_line(3)[..20]),
+    );
     assert_eq!((first.len(), reader.open()), (2, 2));
-    let (second, _) = feed(&mut reader, &(moot(2) + &moot(3)));
+    let (second, _) = feed(
+        &mut reader,
+        &(never_started_line(2) + &never_started_line(3)),
+    );
     assert_eq!(second.len(), 2);
     assert_eq!(second[0], Notice::Odd(Anomaly::RepeatedNotice, 1));
-    assert_eq!(reader.open(), 3); // and again, in the middle of the replay
-    assert_eq!(feed(&mut reader, &moot(4)).0.len(), 1);
+    // The second connection ends in the middle of the repeated notices.
+    assert_eq!(reader.open(), 3);
+    assert_eq!(feed(&mut reader, &never_started_line(4)).0.len(), 1);
 }
 
 #[test]
-fn a_missing_notice_renews_the_connection_unless_it_is_lost_for_good() {
+fn a_missing_notice_ends_the_connection_unless_the_executor_no_longer_has_it() {
     let mut reader = Reader::default();
     reader.open();
-    feed(&mut reader, &moot(1)).1.unwrap();
-    assert!(feed(&mut reader, &moot(3)).1.is_err());
+    feed(&mut reader, &never_started_line(1)).1.unwrap();
+    assert!(feed(&mut reader, &never_started_line(3)).1.is_err());
     assert_eq!(reader.open(), 1);
-    let (notices, result) = feed(&mut reader, &moot(3));
+    let (notices, result) = feed(&mut reader, &never_started_line(3));
     assert_eq!(
         (&notices[0], notices.len(), result),
         (&Notice::Odd(Anomaly::LostNotice, 1), 2, Ok(()))
@@ -109,7 +117,7 @@
 }
 
 #[test]
-fn an_overlong_line_ends_the_connection() {
+fn a_line_over_the_maximum_length_ends_the_connection() {
     for line in [
         vec![b'x'; LINE_MAX + 1],
         [vec![b'x'; LINE_MAX + 1], b"\n".to_vec()].concat(),
@@ -119,21 +127,21 @@
 }
 
 #[test]
-fn damage_ends_in_notices_or_an_error() {
+fn damaged_input_yields_notices_or_an_error() {
     let count = |notices: &[Notice]| {
         notices
             .iter()
             .filter(|n| matches!(n, Notice::Odd(..)))
             .count()
     };
-    let odd: usize = damaged(TALK.as_bytes())
+    let odd: usize = damaged(NOTICES.as_bytes())
         .map(|bytes| count(&read(&[&bytes[..]]).0))
         .sum();
     assert!(odd > 100, "{odd}");
 }
 
 #[test]
-fn commands_are_lines_of_json() {
+fn commands_are_encoded_as_lines_of_json() {
     let rid = "9b1f03aa5c7e2d41";
     for (command, line) in [
         (Command::Open(3), r#"{"t":"OPEN","no":3}"#),
@@ -165,7 +173,7 @@
 }
 
 #[test]
-fn an_execution_whose_end_cannot_be_read_has_failed() {
+fn an_execution_without_a_readable_result_counts_as_failed() {
     for rest in [
         "\"OK\",\"b64\":\"%%%\"",
         "\"OK\"",
--- a/crates/node/src/fastcgi.rs
+++ b/crates/node/src/fastcgi.rs
@@ -1,28 +1,30 @@
-//! FastCGI 1.0 in the role of a responder: a parser of the records of one connection, and the
-//! encoder of answers.
+//! FastCGI 1.0 in the responder role: a parser for the records of one connection, and an encoder
+//! for answers.
 //!
-//! The parser is fed bytes split anywhere and knows no socket, clock or thread. What it keeps is
-//! bounded: unfinished requests by number and bytes, and what is skipped between two whole requests.
-//! After a [`ParseError`] no further byte of the connection can be read.
+//! The parser accepts bytes split at any point and uses no socket, clock or thread. Its memory and
+//! work are bounded: the number and bytes of unfinished requests, and the bytes skipped between two
+//! complete requests. After a [`ParseError`] the connection cannot be read any further.
 
 use std::io::IoSlice;
 use thiserror::Error;
 
-/// Requests that may be open on one connection.
+/// Maximum number of unfinished requests on one connection. GET_VALUES reports this number, times
+/// the number of connections, as the number of concurrent requests.
 pub const MAX_OPEN: usize = 32;
-/// The largest body of a request, in bytes.
+/// Maximum length of a request's body, in bytes. A longer body is cut off and marked.
 pub const BODY_MAX: usize = 2048;
-/// The most that a request's parameters may take, in bytes.
+/// Maximum length of a request's encoded parameters, in bytes.
 const PARAMS_MAX: usize = 4096;
-/// Bytes that may be skipped between two whole requests: content that is too large or belongs to
-/// no open request, headers and padding. To skip more would take the processor's time for nothing.
+/// Maximum number of bytes skipped between two complete requests: content that is too large or
+/// belongs to no unfinished request, headers and padding. Skipping more would waste CPU time on a
+/// peer that sends no requests.
 const SKIPPED_MAX: usize = 64 * 1024;
-/// Bytes that are kept of a record that is not part of a stream.
+/// Maximum number of bytes kept of a record that is not part of a stream.
 const DISCRETE_MAX: usize = 1024;
-/// Size of a record's header, in bytes.
+/// Length of a record's header, in bytes.
 const HEADER: usize = 8;
 
-// Values of the protocol: the version, then record types.
+// The protocol version, then the record types.
 const VERSION: u8 = 1;
 const BEGIN_REQUEST: u8 = 1;
 const ABORT_REQUEST: u8 = 2;
@@ -34,66 +36,66 @@
 const GET_VALUES_RESULT: u8 = 10;
 const UNKNOWN_TYPE: u8 = 11;
 
-/// The only role that is played here, in BEGIN_REQUEST.
+/// The only supported role in BEGIN_REQUEST.
 const RESPONDER: u16 = 1;
-/// The flag of BEGIN_REQUEST that the connection stays open after the answer.
+/// The BEGIN_REQUEST flag that keeps the connection open after the answer.
 const KEEP_CONN: u8 = 1;
 
 /// How a request ended, in END_REQUEST.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolStatus {
-    /// It was answered.
+    /// The request was answered, or aborted by the load balancer.
     Complete = 0,
-    /// It was rejected: too many are open on the connection.
+    /// The request was rejected because the connection has [`MAX_OPEN`] unfinished requests.
     Overloaded = 2,
-    /// It asked for a role other than responder.
+    /// The request asked for a role other than responder.
     UnknownRole = 3,
 }
 
-/// A request that was read whole.
+/// A request that was read completely.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its id on the connection.
+    /// Request id, chosen by the load balancer for this connection.
     pub id: u16,
-    /// Whether the connection is to stay open after the answer.
+    /// Whether the connection stays open after the answer.
     pub keep_conn: bool,
     /// The encoded parameters, for [`pairs`].
     pub params: Vec<u8>,
-    /// The body, cut off at [`BODY_MAX`] bytes.
+    /// The body, at most [`BODY_MAX`] bytes.
     pub body: Vec<u8>,
-    /// Whether parameters or body were over their bounds and have been cut off.
+    /// Whether the parameters or the body exceeded their bounds and were cut off.
     pub oversize: bool,
 }
 
-/// What the parser has read.
+/// Something that the parser has read completely.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A whole request.
+    /// A complete request.
     Request(Request),
-    /// The load balancer no longer waits for the request of this id.
+    /// The load balancer no longer waits for the answer to the request with this id.
     Abort(u16),
-    /// The parser answers this itself.
+    /// An answer of the parser itself, to be written on the connection.
     Reply(Reply),
 }
 
-/// Why the bytes of a connection can't be read.
+/// Why the bytes of a connection cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.as_str())]
 pub enum ParseError {
-    /// The header of a record has another version than 1.
+    /// The header of a record has a version other than 1.
     UnknownVersion,
-    /// A BEGIN_REQUEST record has less content than role and flags take.
+    /// The content of a BEGIN_REQUEST record is too short for the role and the flags.
     BeginCutShort,
-    /// A request was begun with the id of one that is still being read.
+    /// A request was begun with the id of an unfinished request.
     IdBegunTwice,
-    /// More than 64 KiB were skipped since the last whole request.
+    /// More than 64 KiB were skipped since the last complete request.
     TooMuchSkipped,
-    /// The length of a name or value goes past the end of the bytes.
+    /// The length of a name or value extends past the end of the bytes.
     PairCutShort,
 }
 
 impl ParseError {
-    /// The text for logs and counters.
+    /// Returns the text for logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             ParseError::UnknownVersion => "record of an unknown version",
@@ -105,7 +107,7 @@
     }
 }
 
-/// Bytes to be written, in up to three parts, so that the body need not be copied.
+/// Bytes to write, in up to three parts, so that the body need not be copied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reply {
     head: Vec<u8>,
@@ -114,12 +116,12 @@
 }
 
 impl Reply {
-    /// Size of all parts in bytes.
+    /// Returns the size of all parts, in bytes.
     pub fn size(&self) -> usize {
         self.head.len() + self.body.len() + self.tail.len()
     }
 
-    /// A reply of these bytes.
+    /// Creates a reply that consists of these bytes.
     pub fn raw(head: Vec<u8>) -> Reply {
         Reply {
             head,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// The parts, in the order in which they are written.
+    /// Returns the parts in the order in which they are written.
     pub fn slices(&self) -> [IoSlice<'_>; 3] {
         [
             IoSlice::new(&self.head),
@@ -136,14 +138,15 @@
         ]
     }
 
-    /// An answer: a CGI response on STDOUT, then the end of the request. `fields` are header lines,
-    /// each with its CR LF; header and body take 65,535 bytes at most.
+    /// Encodes an answer: a CGI response on STDOUT, then the end of the request. `fields` are
+    /// header lines, each with its CR LF. The header and the body have at most 65,535 bytes
+    /// together.
     pub fn answer(id: u16, status: u16, fields: &str, body: Vec<u8>) -> Reply {
         let text = format!("Status: {status}\r\n{fields}\r\n");
         let len = text.len() + body.len();
         debug_assert!(
             len <= usize::from(u16::MAX),
-            "one record holds every answer"
+            "an answer of {len} bytes does not fit in one record"
         );
         let padding = len.wrapping_neg() % 8;
         let mut head = Vec::with_capacity(HEADER + text.len());
@@ -155,7 +158,7 @@
         Reply { head, body, tail }
     }
 
-    /// The end of a request without a response.
+    /// Encodes the end of a request without a response.
     pub fn end(id: u16, status: ProtocolStatus) -> Reply {
         let mut head = Vec::with_capacity(2 * HEADER);
         end(&mut head, id, status);
@@ -176,13 +179,14 @@
     out.extend_from_slice(&[0, 0, 0, 0, status as u8, 0, 0, 0]);
 }
 
-/// Name-value pairs, read in place. Ends after [`ParseError::PairCutShort`], if there is one.
+/// Returns an iterator over encoded name-value pairs, without copying them. The iterator ends after
+/// a [`ParseError::PairCutShort`].
 pub fn pairs(mut bytes: &[u8]) -> impl Iterator<Item = Result<(&[u8], &[u8]), ParseError>> {
     std::iter::from_fn(move || {
         if bytes.is_empty() {
             return None;
         }
-        let pair = pair(&mut bytes);
+        let pair = read_pair(&mut bytes);
         if pair.is_none() {
             bytes = &[];
         }
@@ -190,13 +194,13 @@
     })
 }
 
-fn pair<'a>(bytes: &mut &'a [u8]) -> Option<(&'a [u8], &'a [u8])> {
-    let (name, value) = (length(bytes)?, length(bytes)?);
+fn read_pair<'a>(bytes: &mut &'a [u8]) -> Option<(&'a [u8], &'a [u8])> {
+    let (name, value) = (read_length(bytes)?, read_length(bytes)?);
     Some((bytes.split_off(..name)?, bytes.split_off(..value)?))
 }
 
-/// A length of one byte, or of four with the highest bit set.
-fn length(bytes: &mut &[u8]) -> Option<usize> {
+/// Reads a length, which is encoded in one byte, or in four bytes with the highest bit set.
+fn read_length(bytes: &mut &[u8]) -> Option<usize> {
     let first = *bytes.split_off_first()?;
     if first < 0x80 {
         return Some(usize::from(first));
@@ -205,13 +209,13 @@
     Some(u32::from_be_bytes([first & 0x7f, rest[0], rest[1], rest[2]]) as usize)
 }
 
-/// A request of which a part was read.
+/// A request that was read only in part.
 struct Unfinished {
     request: Request,
     params_done: bool,
 }
 
-/// The record whose content is being read, with the bytes that are still to come.
+/// The record that is being read, with the number of bytes that are still missing.
 #[derive(Clone, Copy, Default)]
 struct Record {
     kind: u8,
@@ -220,7 +224,7 @@
     padding_left: usize,
 }
 
-/// Reads the records of one connection.
+/// Parses the records of one connection.
 ///
 /// ```
 /// use madderpoint_node::fastcgi::{Event, Parser};
@@ -231,26 +235,27 @@
 /// parser.feed(&[1, 2, 0], &mut |event| events.push(event)).unwrap();
 /// parser.feed(&[7, 0, 0, 0, 0], &mut |event| events.push(event)).unwrap();
 /// assert_eq!(events, [Event::Abort(7)]);
-/// assert!(parser.feed(&[9; 8], &mut |_| ()).is_err()); // no version of FastCGI
+/// assert!(parser.feed(&[9; 8], &mut |_| ()).is_err()); // not a FastCGI version
 /// ```
 pub struct Parser {
     max_conns: usize,
     header: [u8; HEADER],
-    /// Bytes of the header that were read.
+    /// Number of header bytes that were read.
     header_read: usize,
     record: Option<Record>,
-    /// Content of a record that is not part of a stream.
+    /// Content of the current record, if the record is not part of a stream.
     discrete: Vec<u8>,
     unfinished: Vec<Unfinished>,
-    /// The most that unfinished requests may take together, in bytes.
+    /// Maximum size of all unfinished requests together, in bytes.
     unfinished_max: usize,
-    /// Bytes skipped since the last whole request.
+    /// Number of bytes skipped since the last complete request.
     skipped: usize,
 }
 
 impl Parser {
-    /// A parser for a new connection. `max_conns` is the number of connections that GET_VALUES is
-    /// answered with, `unfinished_max` the most that requests not yet whole may take, in bytes.
+    /// Creates a parser for a new connection. `max_conns` is the number of connections in answers
+    /// to GET_VALUES; `unfinished_max` is the maximum size of all unfinished requests together, in
+    /// bytes.
     pub fn new(max_conns: usize, unfinished_max: usize) -> Parser {
         Parser {
             max_conns,
@@ -264,12 +269,12 @@
         }
     }
 
-    /// Whether a part of a record or of a request was read, and its rest was not.
+    /// Returns whether a record or a request has been read only in part.
     pub fn is_partial(&self) -> bool {
         self.header_read > 0 || self.record.is_some() || !self.unfinished.is_empty()
     }
 
-    /// Reads the next bytes, and passes what they complete to the sink.
+    /// Parses the next bytes and passes each event that they complete to `sink`.
     pub fn feed(
         &mut self,
         mut bytes: &[u8],
@@ -335,7 +340,7 @@
         }
     }
 
-    /// Reads content of a record; gives how many bytes of it were kept for a request.
+    /// Reads content of a record. Returns how many bytes were kept for a request.
     fn read_content(&mut self, record: Record, bytes: &[u8]) -> usize {
         let stream = record.kind == PARAMS || record.kind == STDIN;
         if record.id == 0 || !stream {
@@ -343,12 +348,12 @@
             self.discrete.extend_from_slice(&bytes[..kept]);
             return 0;
         }
-        let taken: usize = self
+        let used: usize = self
             .unfinished
             .iter()
             .map(|unfinished| unfinished.request.params.len() + unfinished.request.body.len())
             .sum();
-        let room = self.unfinished_max.saturating_sub(taken);
+        let room = self.unfinished_max.saturating_sub(used);
         let Some(Unfinished {
             request,
             params_done,
@@ -356,18 +361,18 @@
         else {
             return 0;
         };
-        let (stream, most) = match record.kind {
+        let (stream, max_bytes) = match record.kind {
             PARAMS if *params_done => return 0,
             PARAMS => (&mut request.params, PARAMS_MAX),
             _ => (&mut request.body, BODY_MAX),
         };
-        let kept = bytes.len().min(most - stream.len()).min(room);
+        let kept = bytes.len().min(max_bytes - stream.len()).min(room);
         stream.extend_from_slice(&bytes[..kept]);
         request.oversize |= kept < bytes.len();
         kept
     }
 
-    /// A record was read whole.
+    /// Handles a record that was read completely.
     fn finish_record(
         &mut self,
         record: Record,
@@ -376,7 +381,7 @@
         let empty = self.header[4..6] == [0, 0];
         self.skip(HEADER)?;
         match (record.kind, record.id) {
-            (GET_VALUES, 0) => sink(Event::Reply(self.values()?)),
+            (GET_VALUES, 0) => sink(Event::Reply(self.encode_variables()?)),
             (kind, 0) => {
                 let mut head = Vec::with_capacity(2 * HEADER);
                 header(&mut head, UNKNOWN_TYPE, 0, 8, 0);
@@ -386,7 +391,7 @@
                     ..Reply::default()
                 }));
             }
-            (BEGIN_REQUEST, id) => return self.begin(id, sink),
+            (BEGIN_REQUEST, id) => return self.begin_request(id, sink),
             (ABORT_REQUEST, id) => match self
                 .unfinished
                 .iter()
@@ -411,14 +416,14 @@
                     sink(Event::Request(self.unfinished.swap_remove(index).request));
                 }
             }
-            // Content was read already. Records of ids that are not open are ignored, as the
-            // protocol demands.
+            // Content of streams was handled in `read_content`. Records of ids that are not open
+            // are ignored, as the protocol requires.
             _ => {}
         }
         Ok(())
     }
 
-    fn begin(&mut self, id: u16, sink: &mut impl FnMut(Event)) -> Result<(), ParseError> {
+    fn begin_request(&mut self, id: u16, sink: &mut impl FnMut(Event)) -> Result<(), ParseError> {
         let &[r1, r0, flags, ..] = self.discrete.as_slice() else {
             return Err(ParseError::BeginCutShort);
         };
@@ -448,9 +453,9 @@
         Ok(())
     }
 
-    /// The answer to GET_VALUES: those of the variables asked for that are known here.
-    fn values(&self) -> Result<Reply, ParseError> {
-        let known = [
+    /// Encodes the answer to GET_VALUES: the requested variables that the parser knows.
+    fn encode_variables(&self) -> Result<Reply, ParseError> {
+        let variables = [
             ("FCGI_MAX_CONNS", self.max_conns),
             ("FCGI_MAX_REQS", self.max_conns * MAX_OPEN),
             ("FCGI_MPXS_CONNS", 1),
@@ -458,7 +463,7 @@
         let mut body = Vec::new();
         for pair in pairs(&self.discrete) {
             let (name, _) = pair?;
-            if let Some((name, value)) = known.iter().find(|(n, _)| n.as_bytes() == name) {
+            if let Some((name, value)) = variables.iter().find(|(n, _)| n.as_bytes() == name) {
                 let value = value.to_string();
                 body.extend_from_slice(&[name.len() as u8, value.len() as u8]);
                 body.extend_from_slice(name.as_bytes());
--- a/crates/node/src/fastcgi/tests.rs
+++ b/crates/node/src/fastcgi/tests.rs
@@ -1,7 +1,5 @@
 use super::*;
-use madderpoint_test_harness::wire::{
-    self as support, begin, damaged, record, same_at_every_split,
-};
+use madderpoint_test_harness::wire::{self, begin, damaged, record, same_at_every_split};
 
 fn read(parts: &[&[u8]]) -> (Vec<Event>, Result<(), ParseError>) {
     let (mut parser, mut events) = (Parser::new(976, 65536), Vec::new());
@@ -26,24 +24,25 @@
 #[test]
 fn requests_are_the_same_at_every_split() {
     let long = "v".repeat(200);
-    let params = support::pairs(&[("SCRIPT_NAME", "/call/read"), ("HTTP_X_LONG", &long)]);
-    // Two requests, their records mixed, params in two records, then an abort and a question.
+    let params = wire::pairs(&[("SCRIPT_NAME", "/call/read"), ("HTTP_X_LONG", &long)]);
+    // Two requests with interleaved records, parameters in two records, then an abort, a GET_VALUES
+    // and a record of an unknown type.
     let sequence = [
         begin(1, 1, true),
-        record(support::PARAMS, 1, &params[..9], 7),
+        record(wire::PARAMS, 1, &params[..9], 7),
         begin(258, 1, false),
-        record(support::PARAMS, 1, &params[9..], 0),
-        record(support::PARAMS, 258, &[], 0),
-        record(support::PARAMS, 1, &[], 0),
-        record(support::STDIN, 1, b"ab\0\r\n", 1),
-        record(support::STDIN, 258, &[], 0),
-        record(support::STDIN, 1, b"c", 0),
-        record(support::STDIN, 1, &[], 0),
-        record(support::ABORT, 1, &[], 0),
+        record(wire::PARAMS, 1, &params[9..], 0),
+        record(wire::PARAMS, 258, &[], 0),
+        record(wire::PARAMS, 1, &[], 0),
+        record(wire::STDIN, 1, b"ab\0\r\n", 1),
+        record(wire::STDIN, 258, &[], 0),
+        record(wire::STDIN, 1, b"c", 0),
+        record(wire::STDIN, 1, &[], 0),
+        record(wire::ABORT, 1, &[], 0),
         record(
-            support::GET_VALUES,
+            wire::GET_VALUES,
             0,
-            &support::pairs(&[("FCGI_MPXS_CONNS", ""), ("X", "")]),
+            &wire::pairs(&[("FCGI_MPXS_CONNS", ""), ("X", "")]),
             0,
         ),
         record(77, 0, b"?", 0),
@@ -56,7 +55,7 @@
         Event::Request(first),
         Event::Abort(1),
         Event::Reply(values),
-        Event::Reply(odd),
+        Event::Reply(unknown_type),
     ] = &events[..]
     else {
         panic!("{events:?}")
@@ -78,12 +77,15 @@
         ]
     );
     assert_eq!(&bytes(values)[8..], b"\x0f\x01FCGI_MPXS_CONNS1");
-    assert_eq!(bytes(odd)[1..9], [UNKNOWN_TYPE, 0, 0, 0, 8, 0, 0, 77]);
+    assert_eq!(
+        bytes(unknown_type)[1..9],
+        [UNKNOWN_TYPE, 0, 0, 0, 8, 0, 0, 77]
+    );
     same_at_every_split(&sequence, read);
 }
 
 #[test]
-fn an_answer_reads_back_byte_for_byte() {
+fn an_answer_is_decoded_byte_for_byte() {
     for len in [0, 1, 7, 8, 4096] {
         let body: Vec<u8> = (0..len).map(|i| i as u8).collect();
         let mut written = bytes(&Reply::answer(
@@ -96,7 +98,7 @@
             written.len(),
             Reply::answer(7, 200, "X-Backend-Says: 0.5\r\n", body.clone()).size()
         );
-        let answers = support::answers(&mut written, &mut Default::default());
+        let answers = wire::answers(&mut written, &mut Default::default());
         assert_eq!(answers.len(), 1);
         assert_eq!(
             (answers[0].id, &answers[0].status[..], &answers[0].body),
@@ -108,15 +110,11 @@
 }
 
 #[test]
-fn requests_that_are_too_large_are_cut_and_marked() {
-    let sequence = support::request(1, &[("A", "b")], &[1; BODY_MAX + 1]);
+fn oversize_requests_are_cut_off_and_marked() {
+    let sequence = wire::request(1, &[("A", "b")], &[1; BODY_MAX + 1]);
     let (events, _) = read_whole(&sequence);
     assert!(matches!(&events[..], [Event::Request(r)] if r.oversize && r.body.len() == BODY_MAX));
-    let sequence = [
-        begin(1, 1, true),
-        record(support::PARAMS, 1, &[1; 60_000], 0),
-    ]
-    .concat();
+    let sequence = [begin(1, 1, true), record(wire::PARAMS, 1, &[1; 60_000], 0)].concat();
     let mut parser = Parser::new(1, 65536);
     parser.feed(&sequence, &mut |_| ()).unwrap();
     assert!(
@@ -126,12 +124,12 @@
 }
 
 #[test]
-fn unfinished_requests_of_a_connection_share_a_bound() {
+fn unfinished_requests_of_a_connection_share_a_size_limit() {
     let mut parser = Parser::new(1, 70_000);
     for id in 1..=MAX_OPEN as u16 {
         let part = [
             begin(id, 1, true),
-            record(support::PARAMS, id, &[1; PARAMS_MAX], 0),
+            record(wire::PARAMS, id, &[1; PARAMS_MAX], 0),
         ]
         .concat();
         parser.feed(&part, &mut |_| ()).unwrap();
@@ -144,24 +142,24 @@
     assert_eq!(kept, 70_000);
 }
 
-/// Bodies of 60 MB and records without end were once read to their end, at the cost of all other
-/// connections.
+/// Guards against a peer that sends bodies of 60 MB or endless records: without a bound they are
+/// read to their end, which slows down all other connections.
 #[test]
 fn too_many_bytes_without_a_request_end_the_connection() {
     let record = |kind, id, len| record(kind, id, &vec![7; len], 9);
     let half = [
         begin(1, 1, true),
-        record(support::PARAMS, 1, 100),
-        record(support::PARAMS, 1, 0),
+        record(wire::PARAMS, 1, 100),
+        record(wire::PARAMS, 1, 0),
     ]
     .concat();
-    let endless = [
-        [half, record(support::STDIN, 1, 60_000)].concat(), // a body
-        record(support::PARAMS, 7, 0),                      // empty records of nothing that is open
-        record(77, 0, 100),                                 // records of no known kind
-        support::record(support::STDIN, 1, &[], 255),       // padding
+    let parts = [
+        [half, record(wire::STDIN, 1, 60_000)].concat(), // a long body
+        record(wire::PARAMS, 7, 0), // empty records of a request that is not open
+        record(77, 0, 100),         // records of an unknown type
+        wire::record(wire::STDIN, 1, &[], 255), // padding
     ];
-    for part in endless {
+    for part in parts {
         let mut parser = Parser::new(1, 65536);
         let mut fed = 0;
         while parser.feed(&part, &mut |_| ()).is_ok() {
@@ -169,13 +167,13 @@
             assert!(fed < 4 * SKIPPED_MAX, "{part:?}");
         }
     }
-    let mut parser = Parser::new(1, 65536); // but whole requests may go on for good
-    let whole = support::request(1, &[("A", "b")], &[1; 1000]);
+    let mut parser = Parser::new(1, 65536); // complete requests are not limited
+    let whole = wire::request(1, &[("A", "b")], &[1; 1000]);
     (0..1000).for_each(|_| parser.feed(&whole, &mut |_| ()).unwrap());
 }
 
 #[test]
-fn unsupported_records_are_answered_as_the_protocol_demands() {
+fn unsupported_records_are_answered_as_the_protocol_requires() {
     let too_many: Vec<u8> = (1..=MAX_OPEN as u16 + 1)
         .flat_map(|id| begin(id, 1, true))
         .collect();
@@ -189,11 +187,11 @@
             (vec![Event::Reply(Reply::end(id, status))], Ok(()))
         );
     }
-    // A request aborted before it came whole, and records of ids that are not open.
+    // A request that is aborted before it is complete, and a record of an id that is not open.
     let sequence = [
         begin(1, 1, true),
-        record(support::ABORT, 1, &[], 0),
-        record(support::STDIN, 9, b"x", 0),
+        record(wire::ABORT, 1, &[], 0),
+        record(wire::STDIN, 9, b"x", 0),
     ]
     .concat();
     let (events, result) = read_whole(&sequence);
@@ -207,30 +205,30 @@
 }
 
 #[test]
-fn broken_framing_ends_the_connection() {
+fn malformed_records_are_rejected() {
     let twice = [begin(1, 1, true), begin(1, 1, true)].concat();
     for sequence in [
         vec![2, 1, 0, 1, 0, 8, 0, 0],
         twice,
-        record(support::BEGIN, 1, &[0, 1], 0),
+        record(wire::BEGIN, 1, &[0, 1], 0),
     ] {
         assert!(read_whole(&sequence).1.is_err());
     }
 }
 
 #[test]
-fn damage_ends_in_events_or_an_error() {
-    let whole = support::request(
+fn damaged_input_yields_events_or_an_error() {
+    let whole = wire::request(
         1,
-        &support::call_params("/call/read", "00000000000000aa", "5"),
+        &wire::call_params("/call/read", "00000000000000aa", "5"),
         b"body",
     );
-    let mut broke = 0;
+    let mut errors = 0;
     for sequence in damaged(&[whole.clone(), whole].concat()) {
         let (events, result) = read_whole(&sequence);
-        broke += usize::from(result.is_err());
+        errors += usize::from(result.is_err());
         let bounded = |e: &Event| !matches!(e, Event::Request(r) if r.params.len() > PARAMS_MAX);
         assert!(events.len() <= 8 && events.iter().all(bounded));
     }
-    assert!(broke > 0, "no damage was noticed");
+    assert!(errors > 0, "no damaged input gave an error");
 }
--- a/crates/node/src/idempotency_cache.rs
+++ b/crates/node/src/idempotency_cache.rs
@@ -1,35 +1,36 @@
-//! Idempotency keys and results: like reads can share an answer, and what must run once is known
-//! again by its key.
+//! The idempotency cache: keys of requests and their results. Equal reads can share an answer, and
+//! a repeat of a request that must run once is recognized by its key.
 
 use madderpoint::{Nanos, RequestId};
 use std::collections::{BTreeMap, HashMap};
 
-/// The most keys that are retained.
+/// Maximum number of keys.
 const KEYS_MAX: usize = 8192;
-/// Bytes that a key takes in the maps; all keys may take as much as the results.
+/// Memory accounted for one key in the maps, in bytes. All keys together may take as much memory as
+/// the results.
 const KEY_BYTES: usize = 256;
-/// The least number of keys, however little memory there is.
-const KEYS_LEAST: usize = 16;
+/// Minimum number of keys, whatever the size of the cache.
+const KEYS_MIN: usize = 16;
 
-/// What a repeat of a request is known by.
+/// The key by which a repeat of a request is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IdempotencyKey {
-    /// The index of its operation.
+    /// Index of the operation.
     pub operation: usize,
-    /// What a read is about, or a hash of the key that a rule or the client gave.
+    /// Hash of the subject and body of a read, or of the key that a rule or the client gave.
     pub subject: u64,
-    /// The body's fingerprint, where a rule or the client gave the key. It has no part in what
-    /// counts as the same key: one key with two bodies is a client's mistake, and answered as one.
+    /// Fingerprint of the body, if a rule or the client gave the key. It does not take part in the
+    /// comparison of keys: the same key with two bodies is a client error and is answered as one.
     pub body: Option<u64>,
-    /// Whether it is that of what must run once: it is only forgotten if nothing can have run, or
-    /// at the end of its window, whatever becomes of the result.
+    /// Whether the request must run at most once. Such a key is removed only if the request cannot
+    /// have run, or at the end of its window, whether or not the result is stored.
     pub once: bool,
-    /// When the request reached the machine: the window counts by this, for what comes within it
-    /// may be read later.
+    /// When the request reached the machine. The window is compared with this time, because a
+    /// request that arrives within the window may be read after its end.
     pub arrived: Nanos,
 }
 
-/// Operation, subject, and whether the key was given: equal for the same key.
+/// Operation, subject, and whether a rule or the client gave the key. Equal for equal keys.
 type KeyIdentity = (usize, u64, bool);
 
 impl IdempotencyKey {
@@ -41,27 +42,27 @@
 struct Entry {
     id: RequestId,
     key: IdempotencyKey,
-    /// What arrived by then is a repeat.
+    /// A request with this key that arrived by this time is a repeat.
     window_end: Nanos,
-    /// Until when such a repeat may still be read.
+    /// Latest time at which such a repeat may be read.
     expires: Nanos,
-    /// The result, and until when it may serve others.
+    /// The result, and the time until which it may answer repeats.
     result: Option<(Vec<u8>, Nanos)>,
 }
 
-/// Keys of what is open or done, each with the latest request that has it.
+/// Keys of open and completed requests, each with the latest request that has the key.
 pub struct IdempotencyCache {
     entries: HashMap<KeyIdentity, Entry>,
     by_request: HashMap<RequestId, KeyIdentity>,
     by_expiry: BTreeMap<(Nanos, RequestId), KeyIdentity>,
-    /// Bytes of results.
+    /// Size of all stored results, in bytes.
     bytes: usize,
     max_bytes: usize,
     max_keys: usize,
 }
 
 impl IdempotencyCache {
-    /// A cache for results of this many bytes.
+    /// Creates a cache for at most `max_bytes` bytes of results.
     pub fn new(max_bytes: usize) -> IdempotencyCache {
         IdempotencyCache {
             entries: HashMap::new(),
@@ -69,12 +70,14 @@
             by_expiry: BTreeMap::new(),
             bytes: 0,
             max_bytes,
-            max_keys: (max_bytes / KEY_BYTES).clamp(KEYS_LEAST, KEYS_MAX),
+            max_keys: (max_bytes / KEY_BYTES).clamp(KEYS_MIN, KEYS_MAX),
         }
     }
 
-    /// Retains the key of a request; an older request's entry moves to it. What arrives by
-    /// `window_end` repeats it, and is read at most `longest_delay` later.
+    /// Retains the key of a request, in place of an older request's entry for the same key. A
+    /// request with this key that arrives by `window_end` is a repeat; it is read at most
+    /// `longest_delay` nanoseconds after its arrival. Does nothing if the cache has no room for
+    /// another key.
     pub fn retain(
         &mut self,
         now: Nanos,
@@ -105,13 +108,13 @@
         }
     }
 
-    /// Whether there is room for one more key.
+    /// Returns whether the cache has room for one more key.
     pub fn has_room(&mut self, now: Nanos) -> bool {
         self.remove_expired(now);
         self.entries.len() < self.max_keys
     }
 
-    /// Whether a key belongs to a request with another body.
+    /// Returns whether the key belongs to a request with a different body.
     pub fn conflicts(&mut self, now: Nanos, key: &IdempotencyKey) -> bool {
         self.remove_expired(now);
         let entry = self
@@ -121,8 +124,8 @@
         entry.is_some_and(|entry| entry.key.body != key.body)
     }
 
-    /// A request ended without a result. What must run once and may have run stays known; a repeat
-    /// is answered with an error, for nothing says how it went.
+    /// Records that a request ended without a result. The key of a request that must run once and
+    /// may have run is kept; repeats are answered with an error, because the outcome is unknown.
     pub fn ended_without_result(&mut self, id: RequestId, may_have_run: bool) {
         let entry = self
             .by_request
@@ -144,8 +147,8 @@
         }
     }
 
-    /// The request that a new one with this key repeats: one still open, or done with a result that
-    /// may still serve.
+    /// Returns the request that a new request with this key repeats: one that has no stored result
+    /// yet, or one with a result that may still answer repeats.
     pub fn original(&mut self, now: Nanos, key: IdempotencyKey) -> Option<RequestId> {
         self.remove_expired(now);
         let entry = self
@@ -159,7 +162,8 @@
             .then_some(entry.id)
     }
 
-    /// Stores the result of a request whose key is retained.
+    /// Stores the result of a request whose key is retained. The result may answer repeats until
+    /// `fresh_until`, or to the end of the window if the request must run once.
     pub fn store(&mut self, id: RequestId, result: &[u8], fresh_until: Nanos) {
         let Some(entry) = self
             .by_request
@@ -170,7 +174,8 @@
         };
         let once = entry.key.once;
         if self.bytes + result.len() > self.max_bytes {
-            // Without its result it is still known to have run.
+            // The key of a request that must run once is kept without the result: it still shows
+            // that the request ran.
             if !once {
                 self.release(id);
             }
@@ -181,7 +186,7 @@
         entry.result = Some((result.to_vec(), fresh_until));
     }
 
-    /// The stored result of a request.
+    /// Returns the stored result of a request.
     pub fn result(&self, id: RequestId) -> Option<&[u8]> {
         let entry = self.entries.get(self.by_request.get(&id)?)?;
         entry.result.as_ref().map(|(result, _)| result.as_slice())
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,13 +1,13 @@
-//! A madderpoint node: load balancers, the executor, the backend and the service registry on real
-//! sockets, round the decisions of [`madderpoint::admission`].
+//! A madderpoint node: connects load balancers, the executor, the backend and the service registry
+//! to the decisions of [`madderpoint::admission`] over sockets.
 //!
-//! - Protocols, fed bytes, without sockets, clocks and threads: [`fastcgi`], [`executor`],
+//! - Protocols that parse bytes and use no socket, clock or thread: [`fastcgi`], [`executor`],
 //!   [`backend`], [`service_registry`].
-//! - The node without its I/O: [`node`] takes events and requests [`actions`]; it reads requests by
-//!   [`request`] ([`request_error`]), applies [`request_rules`], takes part in the [`cluster`] and
-//!   counts in [`metrics`], within the bounds of [`capacity`].
-//! - Sockets and threads round it: [`io`].
-//! - Start and operation: [`config`], [`log`], [`program_version`], [`version_store`],
+//! - The node without its I/O: [`node`] handles events and requests [`actions`]. It parses requests
+//!   with [`request`] ([`request_error`]), applies [`request_rules`], takes part in the [`cluster`]
+//!   and counts in [`metrics`], within the bounds of [`capacity`].
+//! - The sockets and threads around the node: [`io`].
+//! - Startup and operation: [`config`], [`log`], [`program_version`], [`version_store`],
 //!   [`supervisor_client`].
 
 #![forbid(unsafe_code)]
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,6 +1,7 @@
-//! The program: serves without arguments, as the platform starts it, and has sub-commands that
-//! check and try our settings. Results go to standard output, messages to standard error; exit
-//! codes are 0 for well, 1 where the thing checked is bad, 2 where the call is wrong.
+//! The `madderpoint` program. Without arguments, as the platform starts it, it serves; its
+//! subcommands check and try out settings. Results go to standard output and messages to standard
+//! error. The exit code is 0 for success, 1 if the checked input is invalid and 2 for a wrong
+//! command line.
 
 #![forbid(unsafe_code)]
 
--- a/crates/node/src/program_version.rs
+++ b/crates/node/src/program_version.rs
@@ -1,52 +1,52 @@
-//! Versions of the program on a machine: a directory for each, named by its number, with the
-//! program in it and whatever it needs beside. What is in a directory is not changed any more once
-//! it is there.
+//! Versions of the program on a machine. Each version has a directory that is named by its number
+//! and holds the program and the files that it needs. The contents of such a directory never
+//! change.
 
 use madderpoint_rollout::{Version, chunks};
 use std::path::{Path, PathBuf};
 use std::{fs, io};
 
-/// The name of the program in a version's directory.
+/// File name of the program in a version's directory.
 pub const PROGRAM: &str = "madderpoint";
-/// The most bytes of a program.
+/// Maximum size of a program, in bytes.
 const MAX_PROGRAM_BYTES: u64 = 256 << 20;
 
-/// Why a version of the program can't be used.
+/// Why a version of the program cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramVersionError {
-    /// A file or directory can't be read.
+    /// A file or directory cannot be read.
     #[error("{}: {source}", path.display())]
     Io {
         /// The file or directory.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The directory's name has no number.
-    #[error("{}: its name has no number; expected such as 7 or release-7", .0.display())]
+    /// The directory's name does not end in a positive number.
+    #[error("{}: directory name has no version number; expected a name such as 7 or release-7", .0.display())]
     NoNumber(PathBuf),
-    /// The program is larger than [`MAX_PROGRAM_BYTES`].
-    #[error("{}: {size} bytes, {MAX_PROGRAM_BYTES} at most", path.display())]
+    /// The program is larger than 256 MiB.
+    #[error("{}: program has {size} bytes; the maximum is {MAX_PROGRAM_BYTES}", path.display())]
     TooLarge {
-        /// The program.
+        /// Path of the program.
         path: PathBuf,
-        /// Its bytes.
+        /// Size of the program, in bytes.
         size: u64,
     },
-    /// No directory holds the version.
-    #[error("{}: version {version} is not here: {seen}", programs.display())]
+    /// No directory contains the version.
+    #[error("{}: version {version} not found: {found_instead}", programs.display())]
     NotHere {
-        /// The directory of versions.
+        /// The directory that was searched.
         programs: PathBuf,
-        /// The version that was looked for.
+        /// The requested version.
         version: Version,
-        /// What was found under its number.
-        seen: String,
+        /// Description of the directories with the requested version's number.
+        found_instead: String,
     },
 }
 
-/// The directory's number: its name, or what follows the last `-` in it.
-fn number(dir: &Path) -> Option<u64> {
+/// Returns the number in a directory's name: the whole name, or the part after the last `-`.
+fn number_of(dir: &Path) -> Option<u64> {
     let name = dir.file_name()?.to_str()?;
     name.rsplit('-')
         .next()?
@@ -55,15 +55,16 @@
         .filter(|number| *number > 0)
 }
 
-/// The version that a directory holds: its number, and a hash of the program in it.
+/// Determines the version in a directory: the number from its name, and a hash of the program.
 pub fn version_of(dir: &Path) -> Result<Version, ProgramVersionError> {
     let io_error = |path: &Path| {
         let path = path.to_owned();
         move |source| ProgramVersionError::Io { path, source }
     };
-    let whole = fs::canonicalize(dir).map_err(io_error(dir))?;
-    let number = number(&whole).ok_or_else(|| ProgramVersionError::NoNumber(whole.clone()))?;
-    let program = whole.join(PROGRAM);
+    let canonical = fs::canonicalize(dir).map_err(io_error(dir))?;
+    let number =
+        number_of(&canonical).ok_or_else(|| ProgramVersionError::NoNumber(canonical.clone()))?;
+    let program = canonical.join(PROGRAM);
     let size = fs::metadata(&program).map_err(io_error(&program))?.len();
     if size > MAX_PROGRAM_BYTES {
         return Err(ProgramVersionError::TooLarge {
@@ -78,33 +79,33 @@
     Ok(Version { number, hash })
 }
 
-/// The directory of a version, among those that are in this one.
+/// Finds the subdirectory of `programs` that contains a version.
 pub fn find(programs: &Path, version: Version) -> Result<PathBuf, ProgramVersionError> {
     let entries = fs::read_dir(programs).map_err(|source| ProgramVersionError::Io {
         path: programs.to_owned(),
         source,
     })?;
-    let mut seen = Vec::new();
+    let mut found_instead = Vec::new();
     for entry in entries.filter_map(Result::ok) {
         let dir = entry.path();
-        if number(&dir) != Some(version.number) || !dir.is_dir() {
+        if number_of(&dir) != Some(version.number) || !dir.is_dir() {
             continue;
         }
         match version_of(&dir) {
             Ok(found) if found == version => return Ok(dir),
-            Ok(found) => seen.push(format!("{} has version {found}", dir.display())),
-            Err(error) => seen.push(error.to_string()),
+            Ok(found) => found_instead.push(format!("{} has version {found}", dir.display())),
+            Err(error) => found_instead.push(error.to_string()),
         }
     }
-    let seen = if seen.is_empty() {
-        "no directory of that number".to_owned()
+    let found_instead = if found_instead.is_empty() {
+        "no directory has this number".to_owned()
     } else {
-        seen.join("; ")
+        found_instead.join("; ")
     };
     Err(ProgramVersionError::NotHere {
         programs: programs.to_owned(),
         version,
-        seen,
+        found_instead,
     })
 }
 
--- a/crates/node/src/program_version/tests.rs
+++ b/crates/node/src/program_version/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_version_is_found_by_its_number_and_believed_by_its_hash() {
+fn a_version_is_found_by_its_number_and_verified_by_its_hash() {
     let root = std::env::temp_dir().join(format!("madderpoint-programs-{}", std::process::id()));
     let _ = fs::remove_dir_all(&root);
     for (name, text) in [
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -1,4 +1,4 @@
-//! What a FastCGI request asks for: its parameters read in place.
+//! Decodes a FastCGI request into a health check or a call, without copying its parameters.
 
 #![warn(missing_docs)]
 
@@ -10,61 +10,63 @@
 
 /// Nanoseconds in a millisecond.
 const MILLISECOND: Nanos = 1_000_000;
-/// Below this lies the memory that may be booked for one request, in KB.
+/// Exclusive upper bound of the memory that a request may reserve, in KB.
 const MEMORY_KB_MAX: f64 = 2000.0;
-/// The longest work that an estimate may name, in milliseconds.
+/// Maximum estimate of a request's work, in milliseconds.
 const ESTIMATE_MS_MAX: f64 = 600_000.0;
-/// How far an arrival may lie in the future, in milliseconds: clocks differ, but not by more.
+/// Maximum time by which an arrival may be in the future, in milliseconds. Allows for clocks that
+/// differ.
 const ARRIVAL_AHEAD_MS: u64 = 5_000;
-/// How long before the client timeout an arrival may lie, in milliseconds: machines stand still,
-/// but not for longer. What lies further off is no time of arrival, and must not count as time in a
-/// queue.
+/// Maximum time by which an arrival may be older than the client timeout, in milliseconds. Allows
+/// for machines that are stopped for a while. An older value is not a plausible time of arrival and
+/// must not count as time in a queue.
 const ARRIVAL_OVERDUE_MS: u64 = 60_000;
-/// The longest that a client may say it waits, in milliseconds.
+/// Maximum client timeout in a request, in milliseconds.
 const CLIENT_TIMEOUT_MS_MAX: f64 = 86_400_000.0;
-/// The longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const IDEMPOTENCY_KEY_MAX: usize = 255;
 
-/// What is asked for.
+/// The kind of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestKind {
-    /// A health check; a deep one asks whether work gets done.
+    /// A health check. A deep one also checks that the node can do work.
     HealthCheck {
-        /// Whether it is deep.
+        /// Whether the health check is deep.
         is_deep: bool,
     },
     /// A call of an operation.
     Call(RequestHead),
 }
 
-/// A request's fields.
+/// The validated fields of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestHead {
-    /// Correlation id: 16 hexadecimal digits, as they came.
+    /// Correlation id: 16 hexadecimal digits, as received.
     pub correlation_id: String,
-    /// When it reached the machine, in Unix milliseconds.
+    /// Time at which the request reached the machine, in Unix milliseconds.
     pub arrived_ms: u64,
-    /// The operation.
+    /// Operation that the call names.
     pub operation: OperationId,
-    /// The tenant, if the deployment has tenants.
+    /// Tenant, if the deployment has tenants.
     pub tenant: Option<TenantId>,
-    /// The load balancer that sent it.
+    /// Load balancer that sent the request.
     pub load_balancer: LoadBalancerId,
-    /// The work to expect, in seconds.
+    /// Expected work, in seconds; none if the request has no estimate or an estimate of 0.
     pub expected_work_s: Option<f64>,
-    /// The memory that is booked while it is queued, in KB.
+    /// Memory that the request reserves while it is queued, in KB.
     pub queued_kb: f64,
-    /// What a read is about.
+    /// Subject of a read, which equal reads share.
     pub subject: Option<u64>,
-    /// The idempotency key of a keyed operation.
+    /// Idempotency key; only for a keyed operation.
     pub idempotency_key: Option<String>,
-    /// How long its client waits from the arrival on, where the deployment has that sent along;
-    /// never over the operation's client timeout.
+    /// Time from the arrival for which the client waits, in nanoseconds, if the deployment passes
+    /// deadlines along. At most the operation's client timeout.
     pub client_timeout: Option<Nanos>,
 }
 
 impl RequestHead {
-    /// How long ago it reached the machine; 0 if that lies in the future.
+    /// Returns the time since the request reached the machine, in nanoseconds; 0 if its arrival is
+    /// in the future.
     pub fn age(&self, unix_ms: u64) -> Nanos {
         unix_ms
             .saturating_sub(self.arrived_ms)
@@ -72,7 +74,7 @@
     }
 }
 
-/// A request's fields as they came, read in place.
+/// The fields of a request as received, not yet validated and borrowed from its parameters.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Fields<'a> {
     path: Option<&'a str>,
@@ -91,7 +93,7 @@
     is_oversize: bool,
 }
 
-/// Reads what a request asks for.
+/// Decodes a request that no rule changes. `unix_ms` is the present time, in Unix milliseconds.
 pub fn read(
     config: &DeploymentConfig,
     unix_ms: u64,
@@ -101,7 +103,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a request; of those with one name the last counts.
+    /// Reads the fields of a request. If a parameter occurs more than once, the last value counts.
     pub fn of(request: &'a fastcgi::Request) -> Result<Fields<'a>, RequestError> {
         let mut fields = Fields {
             is_oversize: request.oversize,
@@ -130,13 +132,14 @@
         Ok(fields)
     }
 
-    /// Whether rules are evaluated for it: it has come whole, has a path and is no health check.
+    /// Returns whether rules are evaluated for the request: its parameters and body are within
+    /// their bounds, it has a path, and it is not a health check.
     pub fn is_subject_to_rules(&self) -> bool {
         !self.is_oversize && self.path.is_some_and(|path| path != "/ping")
     }
 
-    /// The operation that its path names, and the load balancer, as far as they are known: enough
-    /// to count the request.
+    /// Returns the operation in the path and the load balancer, which suffice to count the request.
+    /// An unknown load balancer is given as 0.
     pub fn operation_and_load_balancer(
         &self,
         config: &DeploymentConfig,
@@ -153,7 +156,8 @@
         ))
     }
 
-    /// It as rules see it, but for what only its connection and its parameters as a whole tell.
+    /// Returns the facts on which rules are evaluated, without those that depend on the connection
+    /// or on all parameters together.
     pub fn facts(&self, config: &'a DeploymentConfig) -> Facts<'a> {
         let path = self.path.unwrap_or_default();
         let operation = path
@@ -189,7 +193,8 @@
         }
     }
 
-    /// What is asked for; a rule may have given another operation than the path names.
+    /// Decodes the request. An operation that a rule gave takes precedence over the one in the
+    /// path.
     pub fn kind(
         &self,
         config: &DeploymentConfig,
@@ -216,19 +221,20 @@
         self.head(config, unix_ms, operation).map(RequestKind::Call)
     }
 
-    /// The order of the checks decides which error a request with several is answered.
+    /// Validates the fields of a call. A request with several errors is answered with the first one
+    /// in the order of the checks.
     fn head(
         &self,
         config: &DeploymentConfig,
         unix_ms: u64,
         operation: OperationId,
     ) -> Result<RequestHead, RequestError> {
-        let agreed = &config.deployment.operations[operation.0];
+        let definition = &config.deployment.operations[operation.0];
         let expected_work_s = self.expected_work_s()?;
         self.check_criticality()?;
         let tenant = self.tenant_id(config)?;
-        let idempotency_key = self.idempotency_key(agreed)?;
-        let client_timeout = self.client_timeout(config, agreed)?;
+        let idempotency_key = self.idempotency_key(definition)?;
+        let client_timeout = self.client_timeout(config, definition)?;
         let subject = self
             .subject
             .map(|text| u64::from_str_radix(text, 16))
@@ -238,8 +244,8 @@
             .correlation_id
             .filter(|id| id.len() == 16 && id.bytes().all(|byte| byte.is_ascii_hexdigit()))
             .ok_or(RequestError::InvalidCorrelationId)?;
-        let arrived_ms = self.arrival_ms(unix_ms, agreed)?;
-        // Load balancers that are started anew have new numbers, without end.
+        let arrived_ms = self.arrival_ms(unix_ms, definition)?;
+        // A load balancer gets a new id at each start, so ids are not bounded.
         let load_balancer: Option<u64> = self.load_balancer.and_then(|id| id.parse().ok());
         let load_balancer = load_balancer.ok_or(RequestError::InvalidPeer)?;
         let memory_kb: Option<f64> = self.memory_kb.and_then(|kb| kb.parse().ok());
@@ -292,15 +298,16 @@
         Ok(tenant)
     }
 
-    fn idempotency_key(&self, agreed: &Operation) -> Result<Option<&'a str>, RequestError> {
+    fn idempotency_key(&self, definition: &Operation) -> Result<Option<&'a str>, RequestError> {
         let key = self
             .idempotency_key
-            .filter(|_| agreed.idempotency == Idempotency::Keyed);
+            .filter(|_| definition.idempotency == Idempotency::Keyed);
         let is_valid = |key: &str| {
             (1..=IDEMPOTENCY_KEY_MAX).contains(&key.len())
                 && key.bytes().all(|byte| byte.is_ascii_graphic())
         };
-        // With a key that can't be one it would run without protection, so it does not run.
+        // With an invalid key the request would run without protection against repeats, so it is
+        // rejected.
         if key.is_some_and(|key| !is_valid(key)) {
             return Err(RequestError::InvalidOperationKey);
         }
@@ -310,7 +317,7 @@
     fn client_timeout(
         &self,
         config: &DeploymentConfig,
-        agreed: &Operation,
+        definition: &Operation,
     ) -> Result<Option<Nanos>, RequestError> {
         let sent = self
             .client_timeout_ms
@@ -319,14 +326,14 @@
         match sent {
             None => Ok(None),
             Some(Ok(ms)) if (0.0..=CLIENT_TIMEOUT_MS_MAX).contains(&ms) => {
-                Ok(Some(((ms * 1e6) as Nanos).min(agreed.client_timeout)))
+                Ok(Some(((ms * 1e6) as Nanos).min(definition.client_timeout)))
             }
             Some(_) => Err(RequestError::InvalidDeadline),
         }
     }
 
-    fn arrival_ms(&self, unix_ms: u64, agreed: &Operation) -> Result<u64, RequestError> {
-        let timeout_ms = agreed.client_timeout / MILLISECOND;
+    fn arrival_ms(&self, unix_ms: u64, definition: &Operation) -> Result<u64, RequestError> {
+        let timeout_ms = definition.client_timeout / MILLISECOND;
         let arrived_ms: Option<u64> = self.arrived_ms.and_then(|ms| ms.parse().ok());
         arrived_ms
             .filter(|&ms| {
--- a/crates/node/src/request_error.rs
+++ b/crates/node/src/request_error.rs
@@ -1,20 +1,20 @@
-//! Why a request is answered without asking the admission controller.
+//! Errors of requests that are answered without the admission controller.
 
 #![warn(missing_docs)]
 
 use crate::fastcgi;
 
-/// A request that is answered at once, by cause.
+/// Why a request is answered immediately with an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.reason())]
 pub enum RequestError {
-    /// The FastCGI parameters can't be read, and why.
+    /// The FastCGI parameters cannot be parsed; the value is the cause.
     MalformedParameters(fastcgi::ParseError),
-    /// A parameter that is read is not UTF-8.
+    /// A parameter that the node uses is not valid UTF-8.
     ParameterNotText,
-    /// The parameters or the body are over their bounds.
+    /// The parameters or the body exceed their bounds.
     TooLarge,
-    /// There is no `SCRIPT_NAME`.
+    /// The request has no `SCRIPT_NAME`.
     NoPath,
     /// The path names neither an operation nor the health check.
     UnknownPath,
@@ -24,36 +24,37 @@
     UnknownTenant,
     /// The method is not POST.
     MethodNotPost,
-    /// `X-Estimate-Ms` is no number within its bounds.
+    /// `X-Estimate-Ms` is not a number from 0 to 600,000.
     InvalidEstimate,
-    /// `X-Criticality` is no number from 0 to 1.
+    /// `X-Criticality` is not a number from 0 to 1.
     InvalidCriticality,
-    /// `X-Operation-Key` is empty, too long, or has other characters than printable ASCII.
+    /// `X-Operation-Key` is empty, longer than 255 bytes, or has characters other than printable
+    /// ASCII without spaces.
     InvalidOperationKey,
-    /// `X-Deadline-Ms` is no number within its bounds.
+    /// `X-Deadline-Ms` is not a number from 0 to 86,400,000.
     InvalidDeadline,
-    /// `X-Subject` is no hexadecimal number of 64 bits.
+    /// `X-Subject` is not a hexadecimal number of at most 64 bits.
     InvalidSubject,
-    /// `X-Correlation-Id` is not 16 hexadecimal digits.
+    /// `X-Correlation-Id` is missing or does not consist of 16 hexadecimal digits.
     InvalidCorrelationId,
-    /// `X-Arrived-Ms` is no time that can be one of arrival.
+    /// `X-Arrived-Ms` is missing or not a plausible time of arrival.
     InvalidArrivalTime,
-    /// `X-Upstream-Peer` is no number.
+    /// `X-Upstream-Peer` is missing or not an unsigned 64-bit number.
     InvalidPeer,
-    /// `X-Need-Kb` is no number within its bounds.
+    /// `X-Need-Kb` is missing or not a number above 0 and below 2000.
     InvalidMemory,
-    /// A request in flight has the same correlation id.
+    /// Another request in flight has the same correlation id.
     CorrelationIdInUse,
-    /// The idempotency key belongs to a request with another body.
+    /// The idempotency key belongs to a request with a different body.
     IdempotencyKeyConflict,
-    /// The idempotency cache has no room for the key of what must run once.
+    /// The idempotency cache has no room for the key of a request that must run once.
     IdempotencyCacheFull,
-    /// The executor has not been up yet.
+    /// The executor has not been up since the node's start.
     ExecutorNotUp,
 }
 
 impl RequestError {
-    /// The HTTP status of the answer.
+    /// Returns the HTTP status of the answer.
     pub fn status(self) -> u16 {
         match self {
             RequestError::UnknownPath
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The body of the answer.
+    /// Returns the body of the answer.
     pub fn reason(self) -> &'static str {
         match self {
             RequestError::MalformedParameters(cause) => cause.as_str(),
--- a/crates/node/src/request_rules.rs
+++ b/crates/node/src/request_rules.rs
@@ -1,5 +1,6 @@
-//! The rules and limits in force, as requests meet them before the admission controller does. A
-//! rule set is compiled elsewhere and swapped in one step; requests in flight keep what they were given.
+//! The rules and limits in force, which apply to a request before the admission controller. A rule
+//! set is compiled elsewhere and replaced as a whole; requests in flight keep the outcome of the
+//! earlier rules.
 
 #![warn(missing_docs)]
 
@@ -12,69 +13,70 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// The most rules with errors that wait for a log line, and the most classes and buckets in one.
+/// Maximum number of pending log lines on evaluation errors, and of classes and buckets in one log
+/// line.
 const LOGGED_MAX: usize = 8;
-/// Time between two log lines on errors of the same rule.
-const FAULT_LOG_PERIOD: Nanos = 10_000_000_000;
+/// Minimum time between two log lines on errors of the same rule, in nanoseconds.
+const ERROR_LOG_INTERVAL: Nanos = 10_000_000_000;
 
-/// Rules and buckets as they were read and checked.
+/// Rules, buckets and quotas that were read and checked.
 #[derive(Debug, Default)]
 pub struct CompiledRuleSet {
-    /// The rules.
+    /// The rules, in order of precedence.
     pub rules: RuleSet,
-    /// Their buckets.
+    /// The buckets that the rules refer to by index.
     pub buckets: Vec<Bucket>,
-    /// Those that are limits of the whole cluster, with their indices.
+    /// Quotas of the whole cluster, each with the index of its bucket.
     pub quotas: Vec<(usize, KeyedQuota)>,
 }
 
-/// What a request holds of buckets until it ends.
+/// Permits of buckets and units of quotas that a request holds until it ends.
 #[derive(Debug, Default)]
 pub struct HeldPermits {
     permit: Permit,
-    /// Of limits of the whole cluster: quota and key.
+    /// Quotas of the whole cluster of which a unit is held, by id and key.
     quotas: Vec<(u32, u64)>,
 }
 
 impl HeldPermits {
-    /// Whether nothing is held.
+    /// Returns whether no permit and no unit is held.
     pub fn is_empty(&self) -> bool {
         self.permit.is_empty() && self.quotas.is_empty()
     }
 }
 
-/// A limit that has no unit for a request.
+/// The limit that a request exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitReached {
     /// A limit of this node.
     Node(LimitExceeded),
-    /// One of the whole cluster, with the key.
+    /// A limit of the whole cluster, with the key.
     Cluster(QuotaExceeded, u64),
 }
 
-/// What a rule gave to a request.
+/// The outcome of the rule that matched a request.
 #[derive(Clone, Debug, Default)]
 pub struct RuleOutcome {
-    /// The operation.
+    /// Operation in place of the one in the path, if the rule gives one.
     pub operation: Option<OperationId>,
-    /// The idempotency key as a number.
+    /// Idempotency key as a number that equal keys share, if the rule gives one.
     pub key: Option<u64>,
-    /// The class.
+    /// Class, under which the request is counted.
     pub class: Option<Rc<str>>,
-    /// An answer at once.
+    /// Answer without the admission controller.
     pub verdict: Option<Verdict>,
-    /// Buckets, each with its key.
+    /// Buckets that the request must pass, each with its key.
     pub buckets: Vec<(u16, u64)>,
-    /// A line for the log.
+    /// Line for the log.
     pub log_line: Option<String>,
 }
 
-/// How many requests of a class came, and how they were answered.
+/// Number of requests of a class, and of their answers by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Read.
+    /// Requests that were read.
     pub arrived: u64,
-    /// Answered, by how: succeeded, rejected, failed.
+    /// Requests that succeeded (status 200), were rejected (429 or 503) and failed (all others).
     pub answered: [u64; 3],
 }
 
@@ -84,29 +86,29 @@
     logged_at: Option<Nanos>,
 }
 
-/// The rules in force, their buckets and counts.
+/// The rules in force, with their buckets and counts.
 pub struct RequestRules {
     rule_set: RuleSet,
     classes: Vec<Rc<str>>,
     scratch: Scratch,
     limiter: RateLimiter,
-    /// Quotas of the cluster, by the index of their bucket.
+    /// Ids of the cluster's quotas, by the index of their bucket.
     quotas_of_buckets: Vec<Vec<u32>>,
-    /// This node's end of them, where there are any.
+    /// Borrower of this node, if the cluster has quotas.
     quota_borrower: Option<QuotaBorrower>,
     errors: Vec<RuleErrors>,
     by_class: BTreeMap<Rc<str>, ClassCounts>,
-    /// Log lines on rules that erred.
-    fault_lines: Vec<String>,
+    /// Pending log lines on evaluation errors.
+    error_lines: Vec<String>,
     matched: u64,
-    /// Requests whose evaluation stopped at its cost limit.
+    /// Number of requests whose evaluation stopped at the cost limit.
     exhausted: u64,
-    /// The sum of all counts when they were logged last.
+    /// Sum of all counts when they were last logged.
     logged_sum: u64,
 }
 
 impl RequestRules {
-    /// Rules that are in force from now on; limits take about this many bytes.
+    /// Creates the rules in force. The limits take about `limit_bytes` bytes of memory.
     pub fn new(now: Nanos, compiled: CompiledRuleSet, limit_bytes: usize, seed: u64) -> Self {
         let mut rules = RequestRules {
             rule_set: compiled.rules,
@@ -117,7 +119,7 @@
             quota_borrower: None,
             errors: Vec::new(),
             by_class: BTreeMap::new(),
-            fault_lines: Vec::new(),
+            error_lines: Vec::new(),
             matched: 0,
             exhausted: 0,
             logged_sum: 0,
@@ -126,14 +128,14 @@
         rules
     }
 
-    /// Takes other rules in place of those in force. Buckets whose definition stayed keep what they
-    /// count.
+    /// Replaces the rules in force. Buckets whose definition is unchanged keep their state.
     pub fn replace(&mut self, now: Nanos, compiled: CompiledRuleSet) {
         self.rule_set = compiled.rules;
         self.define(now, &compiled.buckets, &compiled.quotas);
     }
 
-    /// From now on units of these quotas are requested from the cluster.
+    /// Requests units of these quotas from the cluster from now on, in place of those of an earlier
+    /// call. The borrower takes about `bytes` bytes of memory.
     pub fn join_cluster(
         &mut self,
         now: Nanos,
@@ -166,63 +168,65 @@
             .map(|name| Rc::from(name.as_str()))
             .collect();
         let classes = &self.classes;
-        self.by_class.retain(|class, _| classes.contains(class)); // else it grows with each reload
+        // Without this the map would grow with each reload.
+        self.by_class.retain(|class, _| classes.contains(class));
         self.errors.clear();
         self.errors
             .resize_with(self.rule_set.rules().len(), RuleErrors::default);
     }
 
-    /// The rules in force.
+    /// Returns the rules in force.
     pub fn rule_set(&self) -> &RuleSet {
         &self.rule_set
     }
 
-    /// What the first rule that matches gives.
+    /// Returns the outcome of the first rule that matches, or none if no rule matches.
     pub fn evaluate(&mut self, now: Nanos, facts: &Facts<'_>) -> Option<RuleOutcome> {
         let decision = self
             .rule_set
             .decide(facts, &mut self.scratch, RuleLookup::Index);
         self.exhausted += u64::from(decision.exhausted);
-        for (index, fault) in decision.errors {
-            let faults = &mut self.errors[index];
-            faults.count += 1;
-            let is_due = faults
+        for (index, error) in decision.errors {
+            let rule_errors = &mut self.errors[index];
+            rule_errors.count += 1;
+            let is_due = rule_errors
                 .logged_at
-                .is_none_or(|logged| now >= logged + FAULT_LOG_PERIOD);
-            if is_due && self.fault_lines.len() < LOGGED_MAX {
-                faults.logged_at = Some(now);
+                .is_none_or(|logged| now >= logged + ERROR_LOG_INTERVAL);
+            if is_due && self.error_lines.len() < LOGGED_MAX {
+                rule_errors.logged_at = Some(now);
                 let name = &self.rule_set.rules()[index].name;
-                self.fault_lines.push(format!(
-                    "'{name}' erred and so did not match: {fault} ({} times)",
-                    faults.count
+                self.error_lines.push(format!(
+                    "'{name}' did not match because of an error: {error} ({} times)",
+                    rule_errors.count
                 ));
             }
         }
-        let given = decision.output?;
+        let output = decision.output?;
         self.matched += 1;
         let mut log_line = None;
-        if !given.facts.is_empty() {
-            let mut line = format!("'{}'", given.rule.name);
-            for (name, value) in &given.facts {
+        if !output.facts.is_empty() {
+            let mut line = format!("'{}'", output.rule.name);
+            for (name, value) in &output.facts {
                 let _ = write!(line, " {name}={value:?}");
             }
-            if let Some(rank) = given.rank {
+            if let Some(rank) = output.rank {
                 let _ = write!(line, " rank={rank}");
             }
             log_line = Some(line);
         }
-        let class = given.rule.class.map(usize::from);
+        let class = output.rule.class.map(usize::from);
         Some(RuleOutcome {
-            operation: given.rule.operation.map(OperationId),
-            key: given.key,
+            operation: output.rule.operation.map(OperationId),
+            key: output.key,
             class: class.map(|index| Rc::clone(&self.classes[index])),
-            verdict: given.rule.verdict.clone(),
-            buckets: given.buckets.to_vec(),
+            verdict: output.rule.verdict.clone(),
+            buckets: output.buckets.to_vec(),
             log_line,
         })
     }
 
-    /// Takes permits of buckets, if all have a unit.
+    /// Acquires permits of all buckets and units of all their quotas, or of none if one limit is
+    /// reached.
     pub fn acquire(
         &mut self,
         now: Nanos,
@@ -241,13 +245,13 @@
         let mut quotas: Vec<(u32, u64)> = Vec::new();
         let mut longest_wait: Option<(QuotaExceeded, u64)> = None;
         for (bucket, key) in buckets {
-            let of_bucket = self.quotas_of_buckets.get(usize::from(*bucket));
-            for id in of_bucket.into_iter().flatten() {
+            let quota_ids = self.quotas_of_buckets.get(usize::from(*bucket));
+            for id in quota_ids.into_iter().flatten() {
                 if quotas.contains(&(*id, *key)) {
                     continue;
                 }
                 quotas.push((*id, *key));
-                // All are looked at, so that all that lacks is requested together.
+                // All quotas are checked, so that all missing units are requested together.
                 if let Err(exceeded) = borrower.check(now, *id, *key)
                     && longest_wait
                         .is_none_or(|(longest, _)| longest.retry_after < exceeded.retry_after)
@@ -259,7 +263,8 @@
         if let Some((exceeded, key)) = longest_wait {
             return Err(LimitReached::Cluster(exceeded, key));
         }
-        // The node's own limits come last, so that what they take is never for nothing.
+        // The node's own limits come last, so that no permit is taken from them for a request that
+        // a quota rejects.
         let permit = self
             .limiter
             .acquire(now, buckets)
@@ -268,7 +273,7 @@
         Ok(HeldPermits { permit, quotas })
     }
 
-    /// A request that held permits has ended.
+    /// Releases the permits of a request that has ended.
     pub fn release(&mut self, now: Nanos, held: HeldPermits) {
         self.limiter.release(now, held.permit);
         if let Some(borrower) = &mut self.quota_borrower {
@@ -278,70 +283,72 @@
         }
     }
 
-    /// This node's end of the cluster's quotas.
+    /// Returns the borrower of this node, if the cluster has quotas.
     pub fn quota_borrower(&self) -> Option<&QuotaBorrower> {
         self.quota_borrower.as_ref()
     }
 
-    /// When the next quota request is due.
+    /// Returns the time at which the next quota request is due.
     pub fn next_quota_request(&self, now: Nanos) -> Option<Nanos> {
         self.quota_borrower.as_ref()?.next_request_at(now)
     }
 
-    /// The quota request that is due.
+    /// Returns the quota request that is due, if there is one.
     pub fn quota_request(&mut self, now: Nanos) -> Option<QuotaRequest> {
         self.quota_borrower.as_mut()?.next_request(now)
     }
 
-    /// The cluster granted units of quotas.
+    /// Records units of quotas that the cluster granted.
     pub fn quota_granted(&mut self, now: Nanos, grant: &QuotaGrant) {
         if let Some(borrower) = &mut self.quota_borrower {
             borrower.receive_grant(now, grant);
         }
     }
 
-    /// The node leaves: no lease is used any more. Whether none of their units is in use.
+    /// Drops all leases, as the node leaves the cluster. Returns whether none of their units is in
+    /// use.
     pub fn release_leases(&mut self) -> bool {
         self.quota_borrower
             .as_mut()
             .is_none_or(QuotaBorrower::drop_leases)
     }
 
-    /// A request of a class was read.
+    /// Counts a request of a class that was read.
     pub fn count_arrival(&mut self, class: &Rc<str>) {
         self.by_class.entry(Rc::clone(class)).or_default().arrived += 1;
     }
 
-    /// One was answered with this status.
+    /// Counts an answer with this HTTP status to a request of a class.
     pub fn count_answer(&mut self, class: &Rc<str>, status: u16) {
-        let how = match status {
+        let result = match status {
             200 => 0,
             429 | 503 => 1,
             _ => 2,
         };
-        self.by_class.entry(Rc::clone(class)).or_default().answered[how] += 1;
+        self.by_class.entry(Rc::clone(class)).or_default().answered[result] += 1;
     }
 
-    /// Takes the log lines on rules that erred.
+    /// Takes the pending log lines on evaluation errors.
     pub fn take_fault_lines(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.fault_lines)
+        std::mem::take(&mut self.error_lines)
     }
 
-    /// A log line with all counts since the start; none if no count has moved since the last one.
+    /// Returns a log line with all counts since the start, or none if no count has changed since
+    /// the last log line.
     pub fn changed_counts(&mut self) -> Option<String> {
-        let faults: u64 = self.errors.iter().map(|rule| rule.count).sum();
+        let rule_errors: u64 = self.errors.iter().map(|rule| rule.count).sum();
         let over_limit: u64 = self
             .limiter
             .counters()
             .map(|(_, counts)| counts.exceeded.iter().sum::<u64>())
             .sum();
-        let sum = self.matched + self.exhausted + faults + over_limit;
+        let sum = self.matched + self.exhausted + rule_errors + over_limit;
         if std::mem::replace(&mut self.logged_sum, sum) == sum {
             return None;
         }
         let mut line = format!("matched {}", self.matched);
-        if faults > 0 {
-            let _ = write!(line, ", erred {faults}");
+        if rule_errors > 0 {
+            let _ = write!(line, ", erred {rule_errors}");
         }
         if self.exhausted > 0 {
             let _ = write!(
@@ -384,13 +391,13 @@
         }
     }
 
-    /// The limits.
+    /// Returns the limiter of the buckets.
     #[cfg(test)]
     pub fn limiter(&self) -> &RateLimiter {
         &self.limiter
     }
 
-    /// The counts of a class.
+    /// Returns the counts of a class; all 0 if the class has none.
     #[cfg(test)]
     pub fn class_counts(&self, name: &str) -> ClassCounts {
         self.by_class.get(name).copied().unwrap_or_default()
--- a/crates/node/src/service_registry.rs
+++ b/crates/node/src/service_registry.rs
@@ -1,24 +1,24 @@
-//! The protocol of the service registry: a report is one HTTP/1.1 request, and only the status of
-//! its answer matters.
+//! The protocol of the service registry. A report is one HTTP/1.1 request, and only the status of
+//! the answer matters.
 
 use thiserror::Error;
 
-/// The most that is read of an answer's head, in bytes.
+/// Maximum length of the head of an answer, in bytes.
 const HEAD_MAX: usize = 4096;
-/// Header fields that an answer may have.
+/// Maximum number of header fields in an answer.
 const HEADERS_MAX: usize = 32;
 
-/// What a report says of the node.
+/// The state of the node in a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It accepts requests.
+    /// The node accepts requests.
     Up,
-    /// It drains.
+    /// The node drains.
     Out,
 }
 
 impl Phase {
-    /// Its name on the wire.
+    /// Returns the name of the phase on the wire.
     fn as_str(self) -> &'static str {
         match self {
             Phase::Up => "UP",
@@ -27,7 +27,7 @@
     }
 }
 
-/// The bytes of a report of the node to the service registry at `host`.
+/// Encodes a report on the node to the service registry at `host`.
 pub fn report(host: &str, node: &str, phase: Phase) -> Vec<u8> {
     let body = format!("{{\"phase\":\"{}\"}}", phase.as_str());
     format!(
@@ -39,7 +39,7 @@
     .into_bytes()
 }
 
-/// Reads the status of the answer to one report.
+/// Parses the status of the answer to one report.
 ///
 /// ```
 /// use madderpoint_node::service_registry::Answer;
@@ -54,13 +54,13 @@
     head: Vec<u8>,
 }
 
-/// The answer is no HTTP response, or its head is longer than 4 KiB.
+/// The answer is not an HTTP response, or its head exceeds 4 KiB or 32 header fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("an answer that is no HTTP")]
+#[error("answer is not an HTTP response with a head of at most 4 KiB and 32 fields")]
 pub struct AnswerError;
 
 impl Answer {
-    /// Reads the next bytes; gives the status once the head is whole.
+    /// Parses the next bytes. Returns the status once the head is complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<u16>, AnswerError> {
         self.head.extend_from_slice(bytes);
         let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -1,8 +1,9 @@
-//! `madderpoint run-under`: a small supervisor, for installations where it may start processes. It
-//! holds the listening socket and the directories of the program's versions, starts a new process
-//! beside the old one, and goes back if that does not come to serve or dies. If it is killed the
-//! node goes on without it; a supervisor that is started then takes the place of that node without
-//! a gap. [`madderpoint_rollout::process_handover`] decides; this acts.
+//! `madderpoint run-under`: a small supervisor, for installations where it may start processes. The
+//! supervisor holds the listening socket and the directories of the program's versions. It starts a
+//! new process next to the old one, and goes back to the earlier version if the new process does
+//! not come to serve or dies. If the supervisor is killed, the node continues without it; a
+//! supervisor that is started later replaces that node without a gap in service. The decisions are
+//! made in [`madderpoint_rollout::process_handover`]; this module carries them out.
 
 mod host;
 mod orphans;
@@ -30,19 +31,20 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// Time between two wake-ups.
+/// Maximum time between two wake-ups of the supervisor.
 const WAKE_INTERVAL: Duration = Duration::from_millis(100);
-/// What a process may take to leave beyond the time it is told to stop in.
-const LEAVE_SLACK: Duration = Duration::from_secs(5);
+/// Time that a process may take to end, in addition to its configured stop time.
+const STOP_SLACK: Duration = Duration::from_secs(5);
 
-/// What the command line gives.
+/// Options from the command line.
 pub struct SupervisorOptions {
-    /// Where directories of versions are, and which one to start on.
+    /// Directory with one subdirectory for each version of the program.
     pub programs: PathBuf,
+    /// Version to start on: a directory, or the name of a subdirectory of `programs`.
     pub start: PathBuf,
-    /// Where it is kept what is in force.
+    /// Directory for the persisted state.
     pub state: PathBuf,
-    /// Arguments for the program.
+    /// Arguments of the program.
     pub arguments: Vec<String>,
     pub logging: log::Options,
 }
@@ -50,42 +52,43 @@
 /// Why the supervisor does not start.
 #[derive(Debug, thiserror::Error)]
 pub enum SupervisorError {
-    /// Signals can't be taken.
+    /// The signal handlers cannot be installed.
     #[error("signals: {0}")]
     Signals(io::Error),
     /// The environment does not name the configuration.
     #[error("PROXY_CONFIG is not set")]
     NoConfig,
-    /// The configuration can't be taken.
+    /// The configuration is invalid or cannot be read.
     #[error("{0}")]
     Config(String),
-    /// The version to start on can't be used.
+    /// The version to start on cannot be used.
     #[error(transparent)]
     Program(#[from] ProgramVersionError),
-    /// The persisted state can't be read.
+    /// The directory of the persisted state cannot be opened.
     #[error(transparent)]
     Store(#[from] VersionStoreError),
-    /// The address can't be listened on.
+    /// The listening socket cannot be opened.
     #[error("listen {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address from the configuration.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The address of the listening socket is not known.
+    /// The address of the listening socket cannot be determined.
     #[error("{0}")]
     Address(io::Error),
 }
 
-/// What happens to the supervisor.
+/// An event for the supervisor's main loop.
 enum Event {
     Message(Child, SupervisorMessage),
+    /// A process ended, with a description of its exit status.
     Ended(Child, String),
     Signal(i32),
 }
 
-/// Runs until all processes have left after the notice to leave.
+/// Runs the supervisor until it is told to leave and all processes have ended.
 pub fn run(options: SupervisorOptions) -> Result<(), SupervisorError> {
     let mut signals =
         Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR2]).map_err(SupervisorError::Signals)?;
@@ -98,7 +101,7 @@
     } else {
         options.programs.join(&options.start)
     };
-    let given = program_version::version_of(&start)?;
+    let initial_version = program_version::version_of(&start)?;
     let store = VersionStore::open(&options.state, &identity.name, Kind::Program)?;
     let processes_file = store.path().join("processes");
     let orphans = Orphan::read(&processes_file);
@@ -110,17 +113,17 @@
     info!(
         target: part::SUPERVISOR,
         address = %at,
-        program = %given,
+        program = %initial_version,
         previous_processes = orphans.len(),
         "socket opened"
     );
     let (persisted, fresh) = store.read_state();
     let (events, inbox) = unbounded();
-    let forwards = events.clone();
+    let signal_events = events.clone();
     thread::spawn(move || {
         signals
             .forever()
-            .try_for_each(|signal| forwards.send(Event::Signal(signal)).ok())
+            .try_for_each(|signal| signal_events.send(Event::Signal(signal)).ok())
     });
     let host = SupervisorHost {
         options,
@@ -131,10 +134,10 @@
         orphans,
         processes_file,
     };
-    let begun = Instant::now();
-    let now = || begun.elapsed().as_nanos() as u64 + 1;
-    let stop = (identity.stop_after + LEAVE_SLACK).as_nanos() as u64;
-    let mut supervisor = Supervisor::new(now(), persisted, fresh, given, stop, host);
+    let started_at = Instant::now();
+    let now = || started_at.elapsed().as_nanos() as u64 + 1;
+    let stop = (identity.stop_after + STOP_SLACK).as_nanos() as u64;
+    let mut supervisor = Supervisor::new(now(), persisted, fresh, initial_version, stop, host);
     while !supervisor.is_over() {
         handle_next_event(&mut supervisor, &inbox, &now);
         supervisor.wake(now());
@@ -142,7 +145,7 @@
     Ok(())
 }
 
-/// Takes up the next event, if one comes in time.
+/// Handles the next event, if one arrives within [`WAKE_INTERVAL`].
 fn handle_next_event(
     supervisor: &mut Supervisor<SupervisorHost>,
     inbox: &Receiver<Event>,
@@ -164,16 +167,16 @@
         Event::Ended(child, how) => {
             supervisor.host.processes.remove(&child);
             supervisor.ended(now(), child, &how);
-            supervisor.host.note();
+            supervisor.host.write_processes_file();
         }
         Event::Message(child, message) => match message.kind {
             kind::READY => supervisor.ready(now(), child),
             kind::PERSIST => match PersistedState::decode(&message.persisted) {
                 Ok(persisted) => supervisor.persist(child, message.request, persisted),
-                Err(broken) => supervisor.host.answer(
+                Err(error) => supervisor.host.answer(
                     child,
                     message.request,
-                    Err(HostError::from(broken.word())),
+                    Err(HostError::from(error.word())),
                 ),
             },
             kind::CHECK => supervisor.check(child, message.request, message.version()),
--- a/crates/node/src/supervisor/host.rs
+++ b/crates/node/src/supervisor/host.rs
@@ -1,4 +1,4 @@
-//! Starts processes, talks to them and signals them.
+//! Starts processes, exchanges messages with them and sends them signals.
 
 use super::orphans::Orphan;
 use super::sockets::{read_messages, send_with_socket};
@@ -23,46 +23,54 @@
 use std::thread;
 use tracing::{info, warn};
 
-/// A process that was started. Its number is signalled only while it was not waited for.
+/// A process that was started.
 pub(super) struct Process {
     stream: UnixStream,
-    alive: Arc<Mutex<Option<Pid>>>,
+    /// Process id; none once the process was waited for, because the id may then be reused.
+    running_pid: Arc<Mutex<Option<Pid>>>,
 }
 
 impl Process {
-    /// Sends it a signal, if it still runs.
+    /// Sends a signal to the process, if it still runs.
     pub(super) fn signal(&self, signal: Signal) {
-        let alive = self.alive.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(pid) = *alive {
+        let running_pid = self
+            .running_pid
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(pid) = *running_pid {
             let _ = kill_process(pid, signal);
         }
     }
 }
 
-/// What the decisions of the supervisor do.
+/// Carries out the decisions of the supervisor.
 pub(super) struct SupervisorHost {
     pub(super) options: SupervisorOptions,
     pub(super) listener: TcpListener,
     pub(super) store: VersionStore,
     pub(super) processes: BTreeMap<Child, Process>,
     pub(super) events: Sender<Event>,
-    /// Processes of a parent before this one, which go on serving until one of ours does.
+    /// Processes of a previous supervisor, which serve until a process of this one is in charge.
     pub(super) orphans: Vec<Orphan>,
-    /// Where the processes are noted for a supervisor that comes after this one.
+    /// File with the list of processes, for a later supervisor.
     pub(super) processes_file: PathBuf,
 }
 
 impl SupervisorHost {
     fn send(&mut self, child: Child, message: &SupervisorMessage) {
         if let Some(process) = self.processes.get_mut(&child) {
-            let _ = process.stream.write_all(&message.write()); // one that is gone is told of by its end
+            // An error means that the process has ended, which `Event::Ended` reports.
+            let _ = process.stream.write_all(&message.write());
         }
     }
 
-    /// Writes down who is there, for a parent that comes after this one.
-    pub(super) fn note(&self) {
+    /// Writes the list of running processes, for a later supervisor.
+    pub(super) fn write_processes_file(&self) {
         let own = self.processes.values().filter_map(|process| {
-            let pid = *process.alive.lock().unwrap_or_else(PoisonError::into_inner);
+            let pid = *process
+                .running_pid
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
             Orphan::of(pid?.as_raw_nonzero().get())
         });
         let all: Vec<String> = own
@@ -92,15 +100,18 @@
             .spawn()
             .map_err(failed)?;
         let pid = Pid::from_raw(process.id() as i32);
-        let alive = Arc::new(Mutex::new(pid));
-        let (reading, ended) = (ours.try_clone().map_err(failed)?, Arc::clone(&alive));
-        let (events, ends) = (self.events.clone(), self.events.clone());
-        thread::spawn(move || read_messages(child, reading, &events));
+        let running_pid = Arc::new(Mutex::new(pid));
+        let (read_stream, pid_when_ended) =
+            (ours.try_clone().map_err(failed)?, Arc::clone(&running_pid));
+        let (events, end_events) = (self.events.clone(), self.events.clone());
+        thread::spawn(move || read_messages(child, read_stream, &events));
         thread::spawn(move || {
             let status = process.wait();
-            *ended.lock().unwrap_or_else(PoisonError::into_inner) = None;
-            let how = status.map_or_else(|e| e.to_string(), |status| status.to_string());
-            let _ = ends.send(Event::Ended(child, how));
+            *pid_when_ended
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner) = None;
+            let exit = status.map_or_else(|e| e.to_string(), |status| status.to_string());
+            let _ = end_events.send(Event::Ended(child, exit));
         });
         let sent = send_with_socket(
             &ours,
@@ -109,10 +120,11 @@
         );
         let started = Process {
             stream: ours,
-            alive,
+            running_pid,
         };
         if let Err(e) = sent {
-            // It ended already, or takes nothing: its end tells the rest.
+            // The process has ended or does not read. It is killed, and its end is handled as that
+            // of any process.
             warn!(
                 target: part::SUPERVISOR,
                 program = %file.display(),
@@ -122,7 +134,7 @@
             started.signal(Signal::KILL);
         }
         self.processes.insert(child, started);
-        self.note();
+        self.write_processes_file();
         Ok(())
     }
 }
@@ -153,7 +165,7 @@
                 let _ = kill_process(pid, Signal::TERM);
             }
         }
-        self.note();
+        self.write_processes_file();
     }
 
     fn hand_over(&mut self, child: Child) {
--- a/crates/node/src/supervisor/orphans.rs
+++ b/crates/node/src/supervisor/orphans.rs
@@ -1,20 +1,22 @@
-//! Processes of a supervisor that is gone, by the file in which it noted them.
+//! Processes of a previous supervisor, as listed in the file that it wrote.
 
 use std::path::Path;
 
-/// A process of a supervisor that is gone, told from others of its number by when it was started.
+/// A process of a previous supervisor. The start time distinguishes it from a later process with
+/// the same id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Orphan {
     pub(super) pid: i32,
+    /// Start time in clock ticks since boot, as in `/proc/PID/stat`.
     pub(super) started: String,
 }
 
 impl Orphan {
-    /// The process of this number, if there is one.
+    /// Returns the running process with this id, if there is one.
     pub(super) fn of(pid: i32) -> Option<Orphan> {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // The name may have anything in it but ends with the last bracket; the start is the 20th
-        // field after it.
+        // The process name may contain any character and ends with the last bracket. The start time
+        // is the 20th field after the name.
         let started = stat
             .rsplit_once(')')?
             .1
@@ -24,12 +26,13 @@
         Some(Orphan { pid, started })
     }
 
-    /// Whether it still runs.
+    /// Returns whether the process still runs.
     pub(super) fn is_running(&self) -> bool {
         Orphan::of(self.pid).as_ref() == Some(self)
     }
 
-    /// Those of a file that still run.
+    /// Reads the processes listed in a file, without those that no longer run. Returns none if the
+    /// file cannot be read.
     pub(super) fn read(file: &Path) -> Vec<Orphan> {
         let text = std::fs::read_to_string(file).unwrap_or_default();
         let lines = text.lines().filter_map(|line| {
--- a/crates/node/src/supervisor/sockets.rs
+++ b/crates/node/src/supervisor/sockets.rs
@@ -1,4 +1,4 @@
-//! The listening socket, and the stream on which a process gets it.
+//! The listening socket, and the stream over which a process receives it.
 
 use super::Event;
 use crossbeam_channel::Sender;
@@ -16,10 +16,10 @@
 use std::os::unix::net::UnixStream;
 use tracing::warn;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections in the listen backlog.
 const BACKLOG: i32 = 1024;
 
-/// Sends the first message, with the listening socket beside its first byte.
+/// Sends the first message to a process, with the listening socket as ancillary data.
 pub(super) fn send_with_socket(
     stream: &UnixStream,
     bytes: &[u8],
@@ -29,7 +29,9 @@
     let mut control = SendAncillaryBuffer::new(&mut space);
     let sockets = [listener.as_fd()];
     if !control.push(SendAncillaryMessage::ScmRights(&sockets)) {
-        return Err(io::Error::other("no room for a socket"));
+        return Err(io::Error::other(
+            "ancillary buffer has no room for the listening socket",
+        ));
     }
     let sent = rustix::net::sendmsg(
         stream,
@@ -41,7 +43,7 @@
     stream.write_all(&bytes[sent..])
 }
 
-/// Reads the messages of a process until its stream ends.
+/// Reads the messages of a process until the stream ends or a message cannot be decoded.
 pub(super) fn read_messages(child: Child, mut stream: UnixStream, events: &Sender<Event>) {
     let (mut reader, mut buffer) = (MessageReader::default(), [0; 4096]);
     while let Ok(n) = stream.read(&mut buffer) {
@@ -65,8 +67,8 @@
     }
 }
 
-/// A socket to listen on, beside which another one may listen: that of a node whose supervisor was
-/// killed.
+/// Opens a listening socket. The address is shared with other sockets, because a node whose
+/// supervisor was killed may still listen on it.
 pub(super) fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let family = if at.is_ipv4() {
         AddressFamily::INET
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -1,6 +1,7 @@
-//! A node that a supervisor started: the listening socket and the persisted state of the program's
-//! versions come from it over a Unix stream, which is the node's standard input; checks, writes and
-//! swaps are asked of it. A node whose supervisor is gone goes on without it.
+//! The node's link to the supervisor that started it, over a Unix stream that is the node's
+//! standard input. The supervisor sends the listening socket and the persisted state of the
+//! program's versions; the node asks it to check, persist and start versions. A node whose
+//! supervisor has ended continues without it.
 
 use crate::io::{ControlMessage, VersionError, Versions};
 use crate::log::part;
@@ -22,108 +23,117 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// The environment variable that tells a program that a supervisor started it.
+/// Environment variable that is set for a program that a supervisor started.
 pub const SUPERVISED_VARIABLE: &str = "MADDERPOINT_UNDER";
-/// How long a node waits for what it starts with.
+/// Timeout of a read while the node waits for its start instructions.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a node waits for an answer: longer than a new process may take to be ready.
+/// Timeout of a request to the supervisor. Longer than the time within which a new process must be
+/// ready.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why the supervisor did not do what the node asked, or what it sent can't be taken up.
+/// Why the handover from the supervisor, or a request to it, failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SupervisorClientError {
-    /// What the supervisor hands over at the start can't be read.
-    #[error("{SUPERVISED_VARIABLE} is set, and what the parent says can't be read: {0}")]
+    /// The start instructions or the listening socket could not be received.
+    #[error("{SUPERVISED_VARIABLE} is set, but the handover from the supervisor failed: {0}")]
     Handover(String),
-    /// It can't be written to.
-    #[error("the parent can't be told: {0}")]
+    /// A message could not be written to the supervisor.
+    #[error("writing to the supervisor failed: {0}")]
     Write(#[from] std::io::Error),
-    /// It has ended.
-    #[error("the parent is gone")]
+    /// The supervisor has ended.
+    #[error("the supervisor has ended")]
     Gone,
-    /// It did not answer within [`ANSWER_TIMEOUT`].
-    #[error("the parent did not answer")]
+    /// The supervisor did not answer within 60 s.
+    #[error("the supervisor did not answer in time")]
     NoAnswer,
-    /// It answered that it can't be done, and why.
+    /// The supervisor refused the request; the value is the reason.
     #[error("{0}")]
     Refused(String),
 }
 
-/// Requests that wait for their answers, by number.
+/// Requests that wait for an answer, by number.
 type Answers = Arc<Mutex<HashMap<u64, Sender<Result<(), SupervisorClientError>>>>>;
 
-/// The stream to the supervisor.
+/// The link to the supervisor.
 #[derive(Debug)]
 pub struct Link {
     stream: Mutex<UnixStream>,
     answers: Answers,
-    asked: AtomicU64,
-    gone: AtomicBool,
+    request_count: AtomicU64,
+    is_closed: AtomicBool,
 }
 
-/// What the supervisor handed over.
+/// What the supervisor handed over to this process.
 #[derive(Debug)]
 pub struct Adopted {
-    /// The stream to the supervisor.
+    /// The link to the supervisor.
     pub link: Arc<Link>,
-    /// What the process starts with.
+    /// The start instructions.
     pub begin: StartInstructions,
-    /// The listening socket.
+    /// The listening socket; present unless the caller has taken it.
     pub listener: Option<TcpListener>,
-    reading: UnixStream,
+    read_stream: UnixStream,
     reader: MessageReader,
 }
 
-/// Takes up what the supervisor hands over.
+/// Receives the start instructions and the listening socket from the supervisor.
 pub fn adopt() -> Result<Adopted, SupervisorClientError> {
-    let unreadable = |e: &dyn std::fmt::Display| SupervisorClientError::Handover(e.to_string());
+    let handover_error = |e: &dyn std::fmt::Display| SupervisorClientError::Handover(e.to_string());
     let stdin = std::io::stdin()
         .as_fd()
         .try_clone_to_owned()
-        .map_err(|e| unreadable(&e))?;
+        .map_err(|e| handover_error(&e))?;
     let mut stream = UnixStream::from(stdin);
     stream
         .set_read_timeout(Some(START_TIMEOUT))
-        .map_err(|e| unreadable(&e))?;
+        .map_err(|e| handover_error(&e))?;
     let (mut reader, mut listener) = (MessageReader::default(), None);
     let begin = loop {
         let mut buffer = [0; 4096];
         let read = if listener.is_none() {
-            receive_with_socket(&stream, &mut buffer, &mut listener).map_err(|e| unreadable(&e))?
+            receive_with_socket(&stream, &mut buffer, &mut listener)
+                .map_err(|e| handover_error(&e))?
         } else {
-            stream.read(&mut buffer).map_err(|e| unreadable(&e))?
+            stream.read(&mut buffer).map_err(|e| handover_error(&e))?
         };
         if read == 0 {
-            return Err(unreadable(&"it is gone"));
+            return Err(handover_error(
+                &"the stream ended before the start instructions",
+            ));
         }
         reader.feed(&buffer[..read]);
-        if let Some(message) = reader.take().map_err(|_| unreadable(&"it is no saying"))? {
+        if let Some(message) = reader
+            .take()
+            .map_err(|_| handover_error(&"the first message cannot be decoded"))?
+        {
             break message
                 .start_instructions()
-                .ok_or_else(|| unreadable(&"it does not say what to start with"))?;
+                .ok_or_else(|| handover_error(&"the first message holds no start instructions"))?;
         }
     };
     if listener.is_none() {
-        return Err(unreadable(&"no listening socket came"));
+        return Err(handover_error(&"no listening socket was received"));
     }
-    stream.set_read_timeout(None).map_err(|e| unreadable(&e))?;
-    let reading = stream.try_clone().map_err(|e| unreadable(&e))?;
+    stream
+        .set_read_timeout(None)
+        .map_err(|e| handover_error(&e))?;
+    let read_stream = stream.try_clone().map_err(|e| handover_error(&e))?;
     let link = Arc::new(Link {
         stream: Mutex::new(stream),
         answers: Answers::default(),
-        asked: AtomicU64::new(0),
-        gone: AtomicBool::new(false),
+        request_count: AtomicU64::new(0),
+        is_closed: AtomicBool::new(false),
     });
     Ok(Adopted {
         link,
         begin,
         listener,
-        reading,
+        read_stream,
         reader,
     })
 }
 
-/// Reads from the stream, and takes the listening socket if it comes beside the bytes.
+/// Reads from the stream, and sets `listener` if the listening socket arrives as ancillary data.
 fn receive_with_socket(
     stream: &UnixStream,
     buffer: &mut [u8],
@@ -142,25 +152,28 @@
 }
 
 impl Adopted {
-    /// Listens to the parent from here on.
+    /// Starts the thread that reads the messages of the supervisor. The thread sends
+    /// [`ControlMessage::HandOver`] on `control` if another process takes this one's place, or if
+    /// the supervisor ends before this process is in charge.
     pub fn listen(self, control: Sender<ControlMessage>) -> std::io::Result<()> {
         let Adopted {
             link,
             begin,
-            reading,
+            read_stream,
             reader,
             ..
         } = self;
-        // One that was started beside another is in charge only once it is told so.
+        // A process that was started next to another one is in charge only once the supervisor says
+        // so.
         let in_charge = !begin.another_process_serves;
         thread::Builder::new()
             .name("parent".into())
-            .spawn(move || listen(&link, in_charge, reading, reader, &control))?;
+            .spawn(move || read_messages(&link, in_charge, read_stream, reader, &control))?;
         Ok(())
     }
 }
 
-fn listen(
+fn read_messages(
     link: &Link,
     mut in_charge: bool,
     mut stream: UnixStream,
@@ -172,7 +185,7 @@
         match reader.take() {
             Ok(Some(message)) => {
                 in_charge |= message.kind == kind::IN_CHARGE;
-                link.take_up(message, control);
+                link.handle_message(message, control);
                 continue;
             }
             Ok(None) => {}
@@ -184,7 +197,7 @@
             _ => break,
         }
     }
-    link.gone.store(true, SeqCst);
+    link.is_closed.store(true, SeqCst);
     link.answers().clear();
     if in_charge {
         warn!(
@@ -207,12 +220,12 @@
         Ok(stream.write_all(&message.write())?)
     }
 
-    /// Takes up a message of the supervisor.
-    fn take_up(&self, message: SupervisorMessage, control: &Sender<ControlMessage>) {
+    /// Handles a message of the supervisor.
+    fn handle_message(&self, message: SupervisorMessage, control: &Sender<ControlMessage>) {
         match message.kind {
             kind::HAND_OVER => {
-                // The other version runs now: that is what was asked for last, and there is no other
-                // answer to it.
+                // The other version runs now. This is the only answer to the pending request to
+                // start it.
                 let waiting = std::mem::take(&mut *self.answers());
                 waiting
                     .into_values()
@@ -234,22 +247,23 @@
         }
     }
 
-    /// The node serves.
+    /// Reports to the supervisor that the node serves.
     pub fn ready(&self) {
         if let Err(error) = self.send(&SupervisorMessage::plain(kind::READY)) {
             warn!(target: part::SUPERVISOR, %error, "readiness not reported");
         }
     }
 
-    /// Asks the supervisor for something, and waits for the answer.
+    /// Sends a request, which `message` creates from its number, and waits for the answer for at
+    /// most [`ANSWER_TIMEOUT`].
     fn request(
         &self,
         message: impl FnOnce(u64) -> SupervisorMessage,
     ) -> Result<(), SupervisorClientError> {
-        let number = self.asked.fetch_add(1, SeqCst) + 1;
+        let number = self.request_count.fetch_add(1, SeqCst) + 1;
         let (answers, answer) = bounded(1);
         self.answers().insert(number, answers);
-        if self.gone.load(SeqCst) {
+        if self.is_closed.load(SeqCst) {
             return Err(SupervisorClientError::Gone);
         }
         self.send(&message(number))?;
@@ -259,7 +273,7 @@
     }
 }
 
-/// Versions of the program, which the supervisor stores.
+/// Versions of the program, which the supervisor checks, persists and starts.
 #[derive(Debug)]
 pub struct ProgramVersions(pub Arc<Link>);
 
@@ -280,9 +294,9 @@
         persisted: &PersistedState,
         _: Option<(Version, &[u8])>,
     ) -> Result<(), VersionError> {
-        Ok(self.0.request(|no| SupervisorMessage {
+        Ok(self.0.request(|number| SupervisorMessage {
             kind: kind::PERSIST,
-            request: no,
+            request: number,
             persisted: persisted.encode(),
             ..SupervisorMessage::default()
         })?)
@@ -295,7 +309,7 @@
     }
 }
 
-/// What a node starts with, of its program.
+/// Converts the start instructions into the initial state of the node agent for the program.
 pub fn start(begin: &StartInstructions) -> InitialState {
     InitialState {
         persisted: begin.persisted.clone(),
--- a/crates/node/src/version_store.rs
+++ b/crates/node/src/version_store.rs
@@ -1,7 +1,7 @@
-//! The directory in which a node keeps versions of its settings, or what it knows of versions of
-//! the program: a small file that says what is in force, and the contents. All are written to
-//! another name, synced and put in their place, so that a cut at any moment leaves the old ones or
-//! the new ones.
+//! The directory in which a node stores versions of its settings, or its state on versions of the
+//! program: a small state file with the versions in force, and the contents of versions. Each file
+//! is written under another name, synced and renamed, so that a crash at any moment leaves either
+//! the old file or the new one.
 
 use crate::log::part;
 use madderpoint_rollout::chunks::MAX_CONTENT_BYTES;
@@ -15,28 +15,28 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// Files of contents that are looked at; there are a handful.
+/// Maximum number of content files that are considered. A directory normally holds a few.
 const MAX_CONTENT_FILES: usize = 64;
 
-/// Why the store can't be read or written.
+/// Why the store cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum VersionStoreError {
-    /// A file or directory can't be read or written.
+    /// A file or directory cannot be read or written.
     #[error("{}: {source}", path.display())]
     Io {
         /// The file or directory.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Another process of this node has it.
+    /// Another process of this node has locked the directory.
     #[error("{}: another process has it", .0.display())]
     InUse(PathBuf),
-    /// The process before this one wrote after this one had read.
-    #[error("{}: what is kept was changed by the process before, after it was read", .0.display())]
+    /// The previous process wrote the state file after this process had read it.
+    #[error("{}: persisted state was changed by the previous process after this process had read it", .0.display())]
     Changed(PathBuf),
-    /// A content is not there.
-    #[error("{}: there is no such file", .0.display())]
+    /// The content of a version is missing.
+    #[error("{}: no such file", .0.display())]
     Missing(PathBuf),
 }
 
@@ -47,22 +47,23 @@
     }
 }
 
-/// The node is not started: no version that it may start on can be run.
+/// The node cannot start, because none of the versions that it may start on can be run. The value
+/// is the error of the first one.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct NoVersionToStartOn(String);
 
-/// The directory, of one node; no other process writes there at the same time.
+/// The directory of one node. Only the process that holds the lock writes to it.
 #[derive(Debug)]
 pub struct VersionStore {
     dir: PathBuf,
     kind: Kind,
     lock: Option<File>,
-    /// What was read while another process had it: it must be the same when that one is gone.
+    /// State file as read without the lock. It must be unchanged when the lock is taken.
     read_before_lock: Option<Vec<u8>>,
 }
 
-/// How long the process before this one is waited for.
+/// Maximum time that a write waits for the previous process to release the lock.
 const PREVIOUS_PROCESS_WAIT: Duration = Duration::from_secs(15);
 /// Time between two attempts to take the lock.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -74,7 +75,8 @@
     }
 }
 
-/// A name that is one part of a path: one with other characters is replaced by its hash.
+/// Returns a file name for a node's name. A name with characters other than letters, digits, `.`,
+/// `_` and `-`, a name with a leading `.` and an empty name are replaced by their hash.
 fn path_component(name: &str) -> String {
     let is_plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
     if name.bytes().all(is_plain) && !name.starts_with('.') && !name.is_empty() {
@@ -86,46 +88,48 @@
     )
 }
 
-/// A file of a bounded size; none if there is no such file.
-fn read_bounded(path: &Path, most: usize) -> io::Result<Option<Vec<u8>>> {
+/// Reads a file of at most `max_bytes` bytes. Returns none if the file does not exist.
+fn read_bounded(path: &Path, max_bytes: usize) -> io::Result<Option<Vec<u8>>> {
     let file = match File::open(path) {
         Ok(file) => file,
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(e),
     };
     let mut bytes = Vec::new();
-    file.take(most as u64 + 1).read_to_end(&mut bytes)?;
-    if bytes.len() > most {
-        return Err(io::Error::other(format!("over {most} bytes")));
+    file.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
+    if bytes.len() > max_bytes {
+        return Err(io::Error::other(format!(
+            "file is larger than {max_bytes} bytes"
+        )));
     }
     Ok(Some(bytes))
 }
 
-/// What a node starts with, and what the caller made of the version that it runs.
+/// The initial state of a node, and the caller's result for the version that the node runs.
 #[derive(Debug)]
 pub struct Start<T> {
-    /// What the node agent starts with.
+    /// Initial state of the node agent.
     pub state: InitialState,
-    /// What the caller made of the version's content.
+    /// Result of the caller's function for the content of the version.
     pub running: T,
 }
 
 impl VersionStore {
-    /// The part of a directory that is this node's: several nodes of a machine may be told the same
-    /// one.
+    /// Opens and locks the subdirectory of `dir` for this node, and creates it if necessary.
+    /// Several nodes of a machine may use the same `dir`.
     pub fn open(dir: &Path, node: &str, kind: Kind) -> Result<VersionStore, VersionStoreError> {
-        let mut directory = VersionStore::beside(dir, node, kind)?;
-        directory.take(Duration::ZERO)?;
-        Ok(directory)
+        let mut store = VersionStore::beside(dir, node, kind)?;
+        store.acquire_lock(Duration::ZERO)?;
+        Ok(store)
     }
 
-    /// Where it is.
+    /// Returns the path of the node's directory.
     pub fn path(&self) -> &Path {
         &self.dir
     }
 
-    /// The same, while another process of this node may still have it: it is read, and written only
-    /// once that one is gone.
+    /// Opens the same subdirectory without locking it, because another process of this node may
+    /// still hold the lock. The directory can be read at once; the first write waits for the lock.
     pub fn beside(dir: &Path, node: &str, kind: Kind) -> Result<VersionStore, VersionStoreError> {
         let dir = dir.join(path_component(node));
         fs::create_dir_all(&dir).map_err(VersionStoreError::io(&dir))?;
@@ -137,19 +141,20 @@
         })
     }
 
-    /// Has it for this process alone.
-    fn take(&mut self, within: Duration) -> Result<(), VersionStoreError> {
+    /// Locks the directory for this process, waiting at most `within`. Fails if the state file was
+    /// changed since this process read it without the lock.
+    fn acquire_lock(&mut self, within: Duration) -> Result<(), VersionStoreError> {
         if self.lock.is_some() {
             return Ok(());
         }
         let file = format!("{}.lock", file_prefix(self.kind));
         let io_error = || VersionStoreError::io(&self.dir);
         let lock = File::create(self.dir.join(file)).map_err(io_error())?;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
             match lock.try_lock() {
                 Ok(()) => break,
-                Err(TryLockError::WouldBlock) if begun.elapsed() < within => {
+                Err(TryLockError::WouldBlock) if started_at.elapsed() < within => {
                     thread::sleep(LOCK_RETRY_INTERVAL)
                 }
                 Err(TryLockError::WouldBlock) => {
@@ -184,7 +189,7 @@
         ))
     }
 
-    /// The version that a file's name tells.
+    /// Returns the version in the name of a content file.
     fn version_of(&self, name: &str) -> Option<Version> {
         let (number, hash) = name
             .strip_prefix(file_prefix(self.kind))?
@@ -209,13 +214,13 @@
             .and_then(|()| file.sync_all())
             .and_then(|()| fs::rename(&new, path));
         if written.is_err() {
-            let _ = fs::remove_file(&new); // so that a full disk has its room back
+            let _ = fs::remove_file(&new); // frees the space on a full disk
         }
         written?;
         File::open(&self.dir)?.sync_all()
     }
 
-    /// Contents that are on the disk, by what their names say.
+    /// Lists the versions whose contents are on disk, from the names of the files.
     fn contents(&self) -> Vec<Version> {
         let Ok(all) = fs::read_dir(&self.dir) else {
             return Vec::new();
@@ -227,21 +232,22 @@
             .collect()
     }
 
-    /// A content that is on the disk.
+    /// Reads the content of a version from disk.
     pub fn content(&self, version: Version) -> Result<Vec<u8>, VersionStoreError> {
         let path = self.content_file(version);
         let read = read_bounded(&path, MAX_CONTENT_BYTES).map_err(VersionStoreError::io(&path))?;
         read.ok_or(VersionStoreError::Missing(path))
     }
 
-    /// Writes what is kept, and a content with it, which goes first; then contents that nobody
-    /// needs any more go.
+    /// Writes the content of a version, if one is given, and then the persisted state. Afterwards
+    /// removes the contents that are no longer needed. Waits up to 15 s for the previous process to
+    /// release the lock.
     pub fn persist(
         &mut self,
         persisted: &PersistedState,
         content: Option<(Version, &[u8])>,
     ) -> Result<(), VersionStoreError> {
-        self.take(PREVIOUS_PROCESS_WAIT)?;
+        self.acquire_lock(PREVIOUS_PROCESS_WAIT)?;
         let io_error = || VersionStoreError::io(&self.dir);
         if let Some((version, bytes)) = content {
             self.write(&self.content_file(version), bytes)
@@ -249,45 +255,53 @@
         }
         self.write(&self.state_file(), &persisted.encode())
             .map_err(io_error())?;
-        let open = persisted
+        let open_rollout_version = persisted
             .head
             .as_ref()
             .filter(|head| !head.is_over())
             .map(|head| head.version);
         let newest = content.map(|(version, _)| version);
-        let needed: Vec<Version> = persisted.needed().chain(open).chain(newest).collect();
-        let most = needed
+        let needed: Vec<Version> = persisted
+            .needed()
+            .chain(open_rollout_version)
+            .chain(newest)
+            .collect();
+        let highest = needed
             .iter()
             .map(|version| version.number)
             .max()
             .unwrap_or(0);
         for version in self.contents() {
-            // What is staged and not begun has a higher number than all that was.
-            if !needed.contains(&version) && version.number < most {
+            // Versions that are staged for a rollout that has not begun have higher numbers than
+            // all earlier ones, and are kept.
+            if !needed.contains(&version) && version.number < highest {
                 let _ = fs::remove_file(self.content_file(version));
             }
         }
         Ok(())
     }
 
-    /// What is kept, and whether nothing was.
+    /// Reads the persisted state, and returns whether the disk held none. A state file that cannot
+    /// be read is renamed to `.broken` and counts as absent.
     pub fn read_state(&self) -> (PersistedState, bool) {
         let path = self.state_file();
         let read = match read_bounded(&path, MAX_FILE_BYTES) {
             Ok(None) => return (PersistedState::new(self.kind), true),
             Ok(Some(bytes)) => {
-                PersistedState::decode(&bytes).map_err(|broken| broken.word().to_owned())
+                PersistedState::decode(&bytes).map_err(|error| error.word().to_owned())
             }
             Err(e) => Err(e.to_string()),
         };
         match read {
             Ok(persisted) if persisted.kind == self.kind => (persisted, false),
             read => {
-                let what = read.err().unwrap_or_else(|| "of another kind".into());
+                let error = read
+                    .err()
+                    .unwrap_or_else(|| "state file belongs to another kind of version".into());
                 warn!(
                     target: part::ROLLOUT,
                     path = %path.display(),
-                    error = %what,
+                    error = %error,
                     "persisted state cannot be read: set aside, the node starts on what it is given"
                 );
                 let _ = fs::rename(&path, path.with_extension("broken"));
@@ -296,10 +310,10 @@
         }
     }
 
-    /// The node starts: it runs the first of the versions that it may which can be run. What it is
-    /// given by hand may be missing; then only what is on the disk can be run. Where another
-    /// process of this node runs meanwhile, what is on trial there did not die: it stays on trial
-    /// here.
+    /// Starts the node on the first candidate version for which `run` succeeds. `given` is the
+    /// version that the operator provides; without it, only versions on disk are candidates. If the
+    /// store was opened with [`VersionStore::beside`], a version on trial has not crashed: the
+    /// other process runs it, and it stays on trial in this process.
     pub fn begin<T>(
         &mut self,
         given: Option<(Version, Vec<u8>)>,
@@ -330,29 +344,30 @@
             };
             match content.and_then(|content| Ok((run(version, &content)?, content))) {
                 Ok((running, content)) => {
-                    let read = |version: &Version| Some((*version, self.content(*version).ok()?));
+                    let with_content =
+                        |version: &Version| Some((*version, self.content(*version).ok()?));
                     let state = InitialState {
                         persisted,
                         running: version,
-                        contents: on_disk.iter().filter_map(read).collect(),
+                        contents: on_disk.iter().filter_map(with_content).collect(),
                         new_content: (!on_disk.contains(&version)).then_some(content),
                         crashed,
                         disk_was_empty,
                     };
                     return Ok(Start { state, running });
                 }
-                Err(what) => {
+                Err(error) => {
                     warn!(
                         target: part::ROLLOUT,
                         %version,
-                        error = %what,
+                        error = %error,
                         "version cannot be started"
                     );
-                    first_error.get_or_insert(what);
+                    first_error.get_or_insert(error);
                 }
             }
         }
-        let none = || "there is no version to start on".to_owned();
+        let none = || "no version to start on".to_owned();
         Err(NoVersionToStartOn(first_error.unwrap_or_else(none)))
     }
 }
