--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -17,12 +17,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// One connection to the backend, identified by its link and its number on that link.
+/// One connection to the backend, identified by its link and by its number among the connections of
+/// that link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendLink {
-    /// Index of the link, from 0.
+    /// Index of the connection's link among the node's links to the backend, from 0.
     pub place: usize,
-    /// Number of connections that the link had before this one.
+    /// Number of connections that the link had before this connection.
     pub generation: u64,
 }
 
@@ -42,7 +43,7 @@
 pub struct CallInterestToken(Weak<()>);
 
 impl CallInterestToken {
-    /// Returns whether the execution still waits for the call.
+    /// Returns true until the [`CallInterest`] that created this token is dropped.
     pub fn is_wanted(&self) -> bool {
         self.0.strong_count() > 0
     }
@@ -65,8 +66,8 @@
     /// Closes a connection once the replies passed to [`Actions::send_reply`] are written, unless
     /// more events have arrived on it than [`Close::events_handled`].
     fn close_connection(&mut self, connection_id: ConnectionId, close: Close);
-    /// Stops reading on a connection. Bytes that have already arrived are still read, unless the
-    /// peer is paced.
+    /// Stops reading on a connection. Bytes that have already arrived are still read, unless reads
+    /// from the peer are paced.
     fn stop_reading(&mut self, connection_id: ConnectionId);
     /// Pauses for `pause` nanoseconds between reads on a connection; 0 ends the pacing.
     fn pace_reading(&mut self, connection_id: ConnectionId, pause: Nanos);
--- a/crates/node/src/backend.rs
+++ b/crates/node/src/backend.rs
@@ -48,7 +48,7 @@
 pub struct Reply {
     /// Id of the call, as in its [`invoke`] line.
     pub id: String,
-    /// How the call ended.
+    /// How the call ended. Only [`Outcome::Ok`] has a body.
     pub outcome: Outcome,
     /// Bytes for the execution; empty unless the call succeeded.
     pub body: Vec<u8>,
@@ -96,9 +96,9 @@
 /// ```
 #[derive(Default)]
 pub struct Parser {
-    /// Incomplete line that has been read so far.
+    /// Bytes read so far of a line that is not complete yet.
     line: Vec<u8>,
-    /// Reply whose body is being read, and the number of missing bytes, CR LF included.
+    /// Reply whose body is being read, and the number of bytes missing from the body and its CR LF.
     partial_reply: Option<(Reply, usize)>,
 }
 
@@ -151,8 +151,8 @@
     }
 }
 
-/// Decodes the line of a reply. The second value is the length of the body that follows the line,
-/// if one does.
+/// Decodes the line of a reply. The second value is the length of the body that follows the line;
+/// `None` if no body follows.
 fn decode_head(line: &[u8]) -> Option<(Reply, Option<usize>)> {
     let text = str::from_utf8(line.strip_suffix(b"\r\n")?).ok()?;
     let mut words = text.split(' ');
--- a/crates/node/src/capacity.rs
+++ b/crates/node/src/capacity.rs
@@ -84,19 +84,20 @@
 /// The optional subsystems of a node; each enabled one gets its share of the memory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OptionalSubsystems {
-    /// Whether the node reads XML settings.
+    /// True if the node runs with a settings file (XML); its rules and buckets then need memory.
     pub settings: bool,
-    /// Whether the node is a member of a cluster.
+    /// True if the node is a member of a cluster; the member table then needs memory.
     pub cluster: bool,
-    /// Whether the node shares state with its cluster.
+    /// True if the cluster has voters or a shared backend service. The node then stores its part of
+    /// budgets, quotas, counters and health reports.
     pub shared_state: bool,
-    /// Whether the node takes part in rollouts.
+    /// True if the node takes part in rollouts; contents of versions then need memory.
     pub rollouts: bool,
 }
 
 impl CapacityLimits {
-    /// Derives the bounds from the process's limits, the number of backend links and the enabled
-    /// subsystems.
+    /// Derives the bounds from the limits of the process, the number of backend links and the
+    /// enabled subsystems.
     pub fn of(
         limits: &Limits,
         backend_links: usize,
--- a/crates/node/src/cli/error.rs
+++ b/crates/node/src/cli/error.rs
@@ -25,9 +25,9 @@
     /// A file named on the command line cannot be used.
     #[error("{}: {problem}", path.display())]
     File {
-        /// Path of the file.
+        /// Path of the file, as given on the command line.
         path: PathBuf,
-        /// Reason why the file cannot be used.
+        /// Reason why the file cannot be used; printed after the path.
         problem: FileProblem,
     },
     /// An argument is not of the form `DOMAIN=FILE`.
@@ -36,7 +36,7 @@
     /// The domain of a `DOMAIN=FILE` argument is not a valid trust domain name.
     #[error("{domain}: {problem}")]
     TrustDomain {
-        /// The domain as given.
+        /// Part of the argument before `=`, as given.
         domain: String,
         /// Reason why the name is invalid.
         problem: String,
@@ -71,7 +71,7 @@
     #[error(transparent)]
     Rollout(#[from] RolloutCommandError),
     /// The histogram for the measured times could not be created.
-    #[error("{0}")]
+    #[error("cannot create the histogram of evaluation times: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
 }
 
@@ -79,10 +79,10 @@
 #[derive(Debug, Error)]
 pub enum FileProblem {
     /// The file cannot be read.
-    #[error("{0}")]
+    #[error("cannot read the file: {0}")]
     Unreadable(#[from] io::Error),
     /// The file is not valid JSON.
-    #[error("{0}")]
+    #[error("not valid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// The file does not exist.
     #[error("no such file")]
--- a/crates/node/src/cli/fleet/scenario.rs
+++ b/crates/node/src/cli/fleet/scenario.rs
@@ -14,7 +14,8 @@
 /// A condition on the simulated cluster.
 type Condition = Box<dyn Fn(&Simulation) -> bool>;
 
-/// A condition that must be met within a time, in nanoseconds from its step.
+/// A condition that the simulated cluster must meet within a time, in nanoseconds from the start of
+/// the step that states the condition.
 struct Expectation {
     within: Nanos,
     condition: Condition,
--- a/crates/node/src/cli/fleet/status.rs
+++ b/crates/node/src/cli/fleet/status.rs
@@ -46,7 +46,7 @@
 }
 
 /// Runs `fleet watch`: polls the node `times` times, or without end, with `interval` between two
-/// polls. Prints new changes, the latest last, and the summary if it differs from the last one
+/// polls. Prints new changes, the latest last, and the summary if it differs from the last summary
 /// printed. Only a failure of the first poll is an error.
 pub fn watch(
     settings: &Path,
--- a/crates/node/src/cli/rollout/error.rs
+++ b/crates/node/src/cli/rollout/error.rs
@@ -52,7 +52,7 @@
         node: String,
     },
     /// The charts cannot be drawn or written.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: cannot draw or write the charts: {source}", path.display())]
     Plot {
         /// Path of the SVG file.
         path: PathBuf,
--- a/crates/node/src/cluster.rs
+++ b/crates/node/src/cluster.rs
@@ -15,9 +15,9 @@
 /// An update that the node sends to the cluster about itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClusterUpdate {
-    /// Phase of the node's process.
+    /// The phase that the node's process has entered.
     Phase(Phase),
-    /// Load hint for the other members.
+    /// Load hint for the other members of the cluster.
     LoadHint {
         /// Capacity of the node, from 0 to 255; its meaning depends on the kind of load report.
         capacity: u8,
@@ -26,16 +26,16 @@
     },
     /// The node's demand for units of the budgets, and the units that it holds.
     BudgetRequests {
-        /// Time at which the requests were made.
+        /// Node's time at which the requests were made.
         at: Nanos,
-        /// One request for each budget.
+        /// One request for each budget of the cluster.
         requests: Vec<BudgetRequest>,
     },
     /// The node's demand for units of keyed quotas, and the units that it holds.
     QuotaRequest(QuotaRequest),
-    /// The node's health report on the backend service.
+    /// This node's health report on the backend service, for other nodes.
     HealthReport(HealthReport),
-    /// The node's counters so far.
+    /// The node's counters, as totals since the start of the process.
     Counters(Box<counters::CounterReport>),
     /// The node's part of a status snapshot.
     StatusSnapshot(Box<StatusSnapshot>),
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -42,11 +42,11 @@
 /// The resources that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Processor time, in cores.
+    /// Processor time that the process may use, in cores.
     pub cores: f64,
-    /// Memory in MB. A node that exceeds this limit is killed.
+    /// Memory that the process may use, in MB. A node that exceeds this limit is killed.
     pub memory_mb: f64,
-    /// Number of open descriptors.
+    /// Number of descriptors that the process may have open at a time.
     pub sockets: usize,
 }
 
@@ -60,7 +60,7 @@
     pub peers: PeerAddresses,
     /// The seed of the random numbers used in admission decisions.
     pub seed: u64,
-    /// Time from the start of the drain to the stop.
+    /// Time from the start of the drain to the stop of the process.
     pub stop_after: Duration,
     /// The resources that the process may use.
     pub limits: Limits,
@@ -73,7 +73,7 @@
 /// The differences between the configuration in force and a file that was read later.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfigUpdate {
-    /// The peers' new addresses.
+    /// Addresses of all peers in the new file, changed or not.
     pub peers: PeerAddresses,
     /// Names of the fields that differ and only take effect with a restart.
     pub needs_restart: Vec<&'static str>,
@@ -85,7 +85,7 @@
 pub struct ConfigError {
     /// The configuration file.
     pub path: PathBuf,
-    /// What is wrong with the file.
+    /// Reason for the rejection; shown after the path.
     pub problem: ConfigProblem,
 }
 
@@ -93,10 +93,10 @@
 #[derive(Debug, Error)]
 pub enum ConfigProblem {
     /// The file cannot be read.
-    #[error("{0}")]
+    #[error("cannot read the file: {0}")]
     Unreadable(#[from] io::Error),
     /// The file is not JSON of the expected form.
-    #[error("{0}")]
+    #[error("not a valid JSON configuration: {0}")]
     Malformed(#[from] serde_json::Error),
     /// An environment variable differs from the field that it repeats.
     #[error("{field} is {value}, but the environment variable {variable} has a different value")]
--- a/crates/node/src/executor.rs
+++ b/crates/node/src/executor.rs
@@ -82,7 +82,7 @@
 pub enum Notice {
     /// The executor has been up for `up_ms` milliseconds.
     Booted {
-        /// Whether the executor started with cold caches.
+        /// True if the executor started with cold caches.
         cold: bool,
         /// Milliseconds since the executor's start.
         up_ms: f64,
@@ -91,7 +91,7 @@
     ExecutionEnded {
         /// The request's correlation id.
         rid: String,
-        /// How the execution ended.
+        /// Outcome of the execution, which decides the answer to the request.
         end: End,
         /// Duration of the execution as the executor measured it, in milliseconds.
         time_ms: f64,
@@ -111,14 +111,14 @@
     Info {
         /// The number in the [`Command::SysInfo`] that requested the gauges.
         mark: u64,
-        /// Values of the gauges, in the order of the deployment configuration.
+        /// Values of the gauges, in the order in which the deployment configuration names them.
         values: Vec<f64>,
     },
     /// The work of a deep health check has ended.
     HealthCheckDone {
         /// The number in the [`Command::HealthCheck`] that requested the work.
         mark: u64,
-        /// Whether the work succeeded.
+        /// True if the work succeeded, which makes the health check succeed.
         ok: bool,
     },
     /// The executor did not carry out a command.
@@ -187,7 +187,7 @@
 /// ```
 #[derive(Default)]
 pub struct Reader {
-    /// Incomplete line that has been read so far.
+    /// Bytes read so far of a line that is not complete yet.
     line: Vec<u8>,
     /// Number of the last notice that was read.
     last_notice: u64,
@@ -313,7 +313,7 @@
 /// A message to the executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command<'a> {
-    /// Begins a connection and requests the notices after the one with this number.
+    /// Begins a connection and requests the notices after the notice with this number.
     Open(u64),
     /// Starts the execution of a request.
     StartExecution {
@@ -340,9 +340,10 @@
         /// The number of the notice that requested the call.
         no: u64,
     },
-    /// Requests the executor gauges; the answer carries the same number.
+    /// Requests the executor gauges. The [`Notice::Info`] that answers carries the same number.
     SysInfo(u64),
-    /// Requests the work of a deep health check; the answer carries the same number.
+    /// Requests the work of a deep health check. The [`Notice::HealthCheckDone`] that answers
+    /// carries the same number.
     HealthCheck(u64),
 }
 
--- a/crates/node/src/fastcgi.rs
+++ b/crates/node/src/fastcgi.rs
@@ -67,14 +67,14 @@
     pub oversize: bool,
 }
 
-/// Something that the parser has read completely.
+/// A message from a load balancer that the parser has read completely.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Event {
     /// A complete request.
     Request(Request),
     /// The load balancer no longer waits for the answer to the request with this id.
     Abort(u16),
-    /// An answer of the parser itself, to be written on the connection.
+    /// An answer that the parser gives without the node, to be written on the connection.
     Reply(Reply),
 }
 
@@ -240,7 +240,7 @@
 pub struct Parser {
     max_conns: usize,
     header: [u8; HEADER],
-    /// Number of header bytes that were read.
+    /// Number of bytes read so far of the current record's header.
     header_read: usize,
     record: Option<Record>,
     /// Content of the current record, if the record is not part of a stream.
@@ -340,7 +340,7 @@
         }
     }
 
-    /// Reads content of a record. Returns how many bytes were kept for a request.
+    /// Reads content of a record. Returns the number of bytes that were kept for a request.
     fn read_content(&mut self, record: Record, bytes: &[u8]) -> usize {
         let stream = record.kind == PARAMS || record.kind == STDIN;
         if record.id == 0 || !stream {
--- a/crates/node/src/idempotency_cache.rs
+++ b/crates/node/src/idempotency_cache.rs
@@ -15,7 +15,7 @@
 /// The key by which a repeat of a request is recognized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IdempotencyKey {
-    /// Index of the operation.
+    /// Index of the request's operation in the deployment configuration.
     pub operation: usize,
     /// Hash of the subject and body of a read, or of the key that a rule or the client gave.
     pub subject: u64,
@@ -44,7 +44,7 @@
     key: IdempotencyKey,
     /// A request with this key that arrived by this time is a repeat.
     window_end: Nanos,
-    /// Latest time at which such a repeat may be read.
+    /// Latest time at which a repeat that arrived by `window_end` may be read.
     expires: Nanos,
     /// The result, and the time until which it may answer repeats.
     result: Option<(Vec<u8>, Nanos)>,
@@ -55,7 +55,7 @@
     entries: HashMap<KeyIdentity, Entry>,
     by_request: HashMap<RequestId, KeyIdentity>,
     by_expiry: BTreeMap<(Nanos, RequestId), KeyIdentity>,
-    /// Size of all stored results, in bytes.
+    /// Size of all stored results together, in bytes.
     bytes: usize,
     max_bytes: usize,
     max_keys: usize,
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -72,9 +72,9 @@
     pub listener: Option<TcpListener>,
     /// Called once, when the node starts to serve.
     pub on_serving: Option<Box<dyn FnOnce()>>,
-    /// The rules of the settings file.
+    /// The rules and limits of the settings file; `None` without a settings file.
     pub rules: Option<Box<CompiledRuleSet>>,
-    /// The node's part in its cluster.
+    /// The node's part in its cluster; `None` if the node is in no cluster.
     pub cluster: Option<Box<ClusterSetup>>,
 }
 
--- a/crates/node/src/io/backend_link.rs
+++ b/crates/node/src/io/backend_link.rs
@@ -16,9 +16,9 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// After this time without a command the core gets an event and may have the connection closed. The
-/// backend may close idle connections, and a call written to one that was reset cannot be told from
-/// a call whose reply was lost.
+/// After this time without a command to a link, the core gets an event and may close the link's
+/// connection. The backend may close idle connections, and a call written to one that was reset
+/// cannot be told from a call whose reply was lost.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Timeout of one write. After each timeout the link checks whether a partly written call is still
@@ -69,7 +69,7 @@
     addresses: Addresses,
     index: usize,
     events: Sender<Message>,
-    /// Number of connections opened so far, which is also the number of the current one.
+    /// Number of connections opened so far, which is also the number of the current connection.
     generation: u64,
     /// The current connection and its remote address.
     stream: Option<(SocketAddr, Arc<TcpStream>)>,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Writes a whole call, if the call is still wanted. If a reused connection excess before it
+    /// Writes a whole call, if the call is still wanted. If a reused connection fails before it
     /// accepted the whole call, the backend has not run it, so the call is written on a new
     /// connection.
     fn write_call(&mut self, bytes: &[u8], token: &CallInterestToken) -> io::Result<BackendLink> {
--- a/crates/node/src/io/client_connections.rs
+++ b/crates/node/src/io/client_connections.rs
@@ -38,9 +38,9 @@
     socket: Arc<Socket>,
     /// Sends commands to the reader, which closes connections.
     reader: ReaderHandle,
-    /// Answers of the current turn of the event loop that are not written yet.
+    /// Answers from the current turn of the event loop that are not written yet.
     replies: Vec<Reply>,
-    /// The request to close the connection after these answers.
+    /// The request to close the connection after the answers in `replies`, if there is one.
     close: Option<Close>,
     /// The queue of the writer thread, if one was started.
     writer: Option<Sender<Outgoing>>,
--- a/crates/node/src/io/client_reader.rs
+++ b/crates/node/src/io/client_reader.rs
@@ -96,7 +96,7 @@
     /// Pause before each read, in nanoseconds; set by the core.
     pause: Arc<AtomicU64>,
     state: State,
-    /// Number of events sent to the core.
+    /// Number of events of this connection that were sent to the core.
     events_sent: u64,
     /// A close that waits for the rest of a request: the number of events that the core had handled
     /// when it requested the close, and the end of the wait.
@@ -126,10 +126,11 @@
     is_shared: bool,
     /// Whether the listener is about to close and only the backlog is still accepted.
     is_stopping: bool,
-    /// Number of connections accepted so far, which is also the number of the last one.
+    /// Number of connections accepted so far, which is also the number of the last connection.
     accepted: u64,
     connections: HashMap<u64, ReadConnection>,
-    /// Lingering connections, oldest first. Some of them may already be removed.
+    /// Numbers of lingering connections, oldest first. Some of the connections may already be
+    /// removed.
     lingering: VecDeque<u64>,
     /// Due times with the connection's number: the ends of pauses, of waits for the rest of a
     /// request, and of lingering. The listener's number stands for the next attempt to accept.
--- a/crates/node/src/io/cluster_link/commands.rs
+++ b/crates/node/src/io/cluster_link/commands.rs
@@ -25,13 +25,13 @@
 /// The part of new settings that takes effect in the running cluster thread.
 #[derive(Clone, Debug)]
 pub struct ClusterSettingsUpdate {
-    /// Keys of the datagram authentication.
+    /// Keys with which the cluster's datagrams are authenticated.
     pub keys: AuthKeys,
     /// Addresses of members through which the node joins the cluster.
     pub seeds: Vec<SocketAddr>,
     /// Intervals and timeouts of the membership.
     pub timing: Timing,
-    /// Version number and hash of the settings.
+    /// Version number and content hash of the settings.
     pub number: (u64, u64),
     /// Budgets of the whole cluster.
     pub budgets: Vec<Budget>,
@@ -52,7 +52,7 @@
     TaskDone(Kind, TaskResult),
     /// Makes the node leave the cluster and ends the thread.
     Leave {
-        /// Whether another process of this node takes over.
+        /// True if another process of this node takes over. Rollouts then write no final state.
         is_handed_over: bool,
     },
 }
--- a/crates/node/src/io/cluster_link/health_exchange.rs
+++ b/crates/node/src/io/cluster_link/health_exchange.rs
@@ -12,12 +12,12 @@
 const MAX_REPORTS: usize = 256;
 /// Number of random members that each report is sent to.
 const REPORT_RECEIVERS: usize = 3;
-/// Divisor of the number of reports without failures: only one in this many is sent.
+/// Of the health reports without failures, one in this many is sent.
 const WELL_REPORT_INTERVAL: u64 = 4;
 
 /// This node's end of the exchange of health reports.
 pub struct HealthExchange {
-    /// Hash of the service's name.
+    /// Hash of the service's name; reports with another hash are ignored.
     service: u64,
     health_reports: HealthReports,
     local_report_count: u64,
--- a/crates/node/src/io/cluster_link/setup.rs
+++ b/crates/node/src/io/cluster_link/setup.rs
@@ -27,9 +27,9 @@
 /// The settings of a node's part in its cluster.
 #[derive(Debug)]
 pub struct ClusterSetup {
-    /// The address to bind the UDP socket to.
+    /// The local address to bind the cluster's UDP socket to.
     pub bind: SocketAddr,
-    /// Settings of the membership.
+    /// Settings of the membership protocol: names, keys, seeds and timing.
     pub settings: Config,
     /// Keys of the voters, which elect the leader of the shared state from among themselves. Without
     /// voters nothing is leased or counted across the cluster.
@@ -80,7 +80,7 @@
     }
 }
 
-/// Builds the state of the cluster's thread.
+/// Builds the event loop of the cluster's thread, with membership, shared state and rollouts.
 ///
 /// # Errors
 ///
--- a/crates/node/src/io/connection_slots.rs
+++ b/crates/node/src/io/connection_slots.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether a slot is free.
+    /// Returns true if another connection can be accepted.
     pub fn has_free(&self) -> bool {
         self.open.load(SeqCst) < self.capacity.connections
     }
@@ -40,7 +40,7 @@
 /// A connection's socket, shared by the reader, the core and a writer. Its slot becomes free only
 /// when all of them have dropped the socket, because the descriptor stays open until then.
 pub struct Socket {
-    /// The TCP stream.
+    /// The TCP stream of the accepted connection.
     pub stream: TcpStream,
     /// The slots, one of which this socket occupies.
     pub slots: Arc<ConnectionSlots>,
--- a/crates/node/src/io/event_loop.rs
+++ b/crates/node/src/io/event_loop.rs
@@ -46,7 +46,7 @@
 }
 
 /// Waits for a message, then handles all queued messages of peers and a batch of load balancers'
-/// messages. Returns false if none arrived within `wait`.
+/// messages. Returns false if no message arrived within `wait`.
 fn handle_messages(core: &mut Node<Sockets>, clock: Clock, inbox: &Inbox, wait: Duration) -> bool {
     let first = select! {
         recv(inbox.peers) -> message => message,
--- a/crates/node/src/io/executor_link.rs
+++ b/crates/node/src/io/executor_link.rs
@@ -22,7 +22,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Starts the thread that keeps the executor connected. Up to `lines_max` lines are queued for
-/// write_stream.
+/// writing.
 pub fn start(addresses: Addresses, lines_max: usize, events: Sender<Message>) -> io::Result<()> {
     spawn("executor", move || {
         keep_connected(&addresses, lines_max, &events);
--- a/crates/node/src/io/registry_reports.rs
+++ b/crates/node/src/io/registry_reports.rs
@@ -25,7 +25,7 @@
 /// The phase of the node, which the reports depend on.
 #[derive(Clone, Default)]
 pub struct NodePhase {
-    /// Whether the node drains.
+    /// True once the node drains; reports then say so.
     pub is_draining: Arc<AtomicBool>,
     /// Whether another process of this node takes over. That process then reports, and this one stops
     /// reporting.
--- a/crates/node/src/io/rollout_link.rs
+++ b/crates/node/src/io/rollout_link.rs
@@ -48,8 +48,9 @@
 const COUNTERS_READ_INTERVAL: Nanos = 1_000_000_000;
 /// Length of the worker's queue. At most one task of each kind is requested at a time.
 const QUEUED_TASKS: usize = 8;
-/// Size of one node's record in the metrics of a rollout, in bytes, with two dozen operations, for
-/// each end of the rollout's order.
+/// Memory for the metrics of one node at either end of a rollout's order, with two dozen
+/// operations, in bytes. The memory limit divided by this is the number of nodes at each end whose
+/// metrics are kept separately.
 const NODE_RECORD_BYTES: usize = 12 << 10;
 /// Divisor of a latency objective. Latencies below the quotient never count as slow.
 const OBJECTIVE_DIVISOR: Nanos = 10;
@@ -60,7 +61,8 @@
 /// Maximum number of queued replies to operator commands.
 const QUEUED_REPLIES: usize = 32;
 
-/// Returns the topic of rollouts of a kind.
+/// Returns the topic under which nodes exchange messages about rollouts of settings or of the
+/// program.
 pub fn topic(kind: Kind) -> u32 {
     match kind {
         Kind::Settings => SETTINGS_ROLLOUT_TOPIC,
@@ -70,7 +72,7 @@
 
 /// The initial data of a node's part in rollouts of one kind.
 pub struct RolloutSetup {
-    /// The state that was read from the node's disk.
+    /// State that the node starts with: the persisted state and the version that the node runs.
     pub start: InitialState,
     /// The plan of rollouts that operators start at this node.
     pub plan: Plan,
@@ -91,7 +93,7 @@
 pub struct RolloutContext {
     /// The node's member key.
     pub me: MemberKey,
-    /// The number of the node's zone.
+    /// Hash of the name of the node's zone.
     pub zone: u32,
     /// Keys of the voters, in the order of precedence as coordinator.
     pub voters: Vec<u64>,
@@ -101,7 +103,7 @@
     pub objectives: Vec<Nanos>,
     /// Maximum size of the metrics of a rollout, in bytes.
     pub bytes: usize,
-    /// Seed of the link's random numbers.
+    /// Seed of the random numbers that the link draws.
     pub seed: u64,
 }
 
@@ -112,7 +114,8 @@
     reply: CommandReply,
 }
 
-/// A node's part in rollouts of one kind.
+/// A node's participant in rollouts of settings or of the program, with the worker that does its
+/// slow work.
 pub struct RolloutLink {
     participant: Participant<RolloutHost>,
     kind: Kind,
@@ -127,7 +130,8 @@
 }
 
 impl RolloutLink {
-    /// Creates the node's part and starts its worker thread.
+    /// Creates the node's participant in rollouts of this kind, and starts the thread that checks,
+    /// writes and applies versions.
     pub fn start(
         at: ClockReading,
         setup: RolloutSetup,
@@ -192,7 +196,7 @@
         self.participant.plan = plan;
     }
 
-    /// Handles a message of another node. One that cannot be decoded is ignored.
+    /// Handles a message of another node. A message that cannot be decoded is ignored.
     pub fn handle_message(&mut self, at: ClockReading, from: MemberKey, payload: &[u8]) {
         if let Some(message) = messages::decode(payload) {
             self.participant
--- a/crates/node/src/io/rollout_link/host.rs
+++ b/crates/node/src/io/rollout_link/host.rs
@@ -1,5 +1,6 @@
-//! The host of a node's part in rollouts. It collects the side effects that the part requests until
-//! the link carries them out, and holds the data that the part queries.
+//! The host of a node's participant in rollouts. The host collects the side effects that the
+//! participant requests until the link carries them out, and holds the data that the participant
+//! queries.
 
 use super::version_worker::Task;
 use crossbeam_channel::Sender;
--- a/crates/node/src/io/rollout_link/version_worker.rs
+++ b/crates/node/src/io/rollout_link/version_worker.rs
@@ -63,13 +63,13 @@
 
 /// A task for the worker.
 pub(super) enum Task {
-    /// Checks the version of a rollout.
+    /// Checks whether this node can run the version of a rollout.
     Check {
         rollout: RolloutId,
         version: Version,
         content: Option<Vec<u8>>,
     },
-    /// Checks a version that an operator offers.
+    /// Checks whether this node can run a version that an operator offers.
     CheckOffer {
         number: u64,
         version: Option<Version>,
@@ -90,9 +90,9 @@
 pub enum TaskResult {
     /// Result of checking the version of a rollout.
     Checked(RolloutId, Result<(), HostError>),
-    /// Result of checking an offer with this number; `Ok` has the version found.
+    /// Result of checking the offer with this number; `Ok` has the version of the offered content.
     OfferChecked(u64, Result<Version, HostError>),
-    /// Result of the write with this number.
+    /// Result of the [`Task::Persist`] with this number.
     Persisted(u64, Result<(), HostError>),
     /// Result of switching to this version.
     Applied(Version, Result<(), HostError>),
--- a/crates/node/src/io/rollout_link/window_samples.rs
+++ b/crates/node/src/io/rollout_link/window_samples.rs
@@ -50,8 +50,8 @@
             Kind::Program => continue,
         };
         let sample = window_sample(entry, process.key, version_hash, is_first, counted);
-        // If two processes of a node have counted in one window, the one with more arrived requests
-        // is used.
+        // If two processes of a node have counted in one window, the sample of the process with
+        // more arrived requests is used.
         let arrived = |sample: &WindowSample| {
             sample
                 .operations
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -119,7 +119,7 @@
 struct RateLimit {
     /// The current second, in Unix time.
     second: AtomicU64,
-    /// Number of lines requested in the current second.
+    /// Number of lines that events requested in the current second, written or not.
     asked: AtomicU64,
     /// Number of lines left out since the last permitted line.
     left_out: AtomicU64,
@@ -212,7 +212,7 @@
     }
 }
 
-/// The data common to all lines.
+/// The data that a log line has in both forms.
 struct Line<'a> {
     /// Unix time of the event.
     unix: Duration,
@@ -291,7 +291,7 @@
     name: String,
     /// The message and the fields, as in the plain form.
     message: String,
-    /// Value of the field `event`, if the event has one.
+    /// Value of the field `event`; `None` for an event whose message is constant.
     event: Option<String>,
     fields: Vec<(&'static str, Value)>,
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -47,7 +47,7 @@
 pub struct SharedStateOptions {
     /// Backend service whose health the cluster tracks; `None` disables health reports.
     pub service: Option<SharedService>,
-    /// Whether the node sends counter reports, so that the cluster can add up all nodes' counters.
+    /// True if the node sends counter reports, so that the cluster can add up all nodes' counters.
     pub counts_for_cluster: bool,
 }
 
@@ -58,7 +58,7 @@
     pub name: String,
     /// Calls that take longer than this count as failed; `None` disables the check.
     pub slow_call_threshold: Option<Nanos>,
-    /// Number of the zone that this node runs in.
+    /// Hash of the name of the zone that this node runs in.
     pub zone: u32,
 }
 
--- a/crates/node/src/node/event.rs
+++ b/crates/node/src/node/event.rs
@@ -53,7 +53,7 @@
     BackendReply(usize, backend::Reply),
     /// A connection to the backend ended; the error is set if its input could not be parsed.
     BackendDisconnected(BackendLink, Option<backend::ReadError>),
-    /// Nothing has been sent on the backend link at this index for its idle time.
+    /// The backend link at this index has had no command for the idle timeout of backend links.
     BackendIdle(usize),
     /// The node was told to drain.
     Drain,
@@ -68,7 +68,7 @@
     LeasesGranted(Nanos, Vec<(u32, Lease)>),
     /// Units of the cluster's keyed quotas were granted.
     QuotaGranted(Box<QuotaGrant>),
-    /// The limits of the cluster's budgets changed to these.
+    /// The limits of the cluster's budgets changed; the field has all budgets with the new limits.
     BudgetsChanged(Vec<Budget>),
     /// The aggregated health reports of other nodes on the backend service.
     AggregatedHealth(AggregatedHealth),
--- a/crates/node/src/node/tests/executor_link.rs
+++ b/crates/node/src/node/tests/executor_link.rs
@@ -70,7 +70,8 @@
     node.call(1, "/call/pay", A);
     let first_mark = node.node.with_actions(|actions| actions.gauges_requested);
     node.wait(10);
-    // Gauges are requested soon after the start; their mark would confirm that it arrived.
+    // Gauges are requested soon after the start; their mark would confirm that the start command
+    // arrived.
     assert!(node.node.with_actions(|actions| actions.gauges_requested) > first_mark);
     assert_eq!(node.executor_commands(), [start_command(A, "pay")]);
     node.break_link();
--- a/crates/node/src/node/tests/idempotency.rs
+++ b/crates/node/src/node/tests/idempotency.rs
@@ -363,7 +363,8 @@
 
 #[test]
 fn a_repeat_read_around_the_end_of_the_execution_gets_the_result() {
-    // The repeat is read before the end, after it, or on a new connection after the first was lost.
+    // The repeat is read before the end, after it, or on a new connection after the first
+    // connection was lost.
     for order in 0..3 {
         let mut node = TestNode::new();
         node.send_keyed(1, A, KEY, 0);
--- a/crates/node/src/node/tests/support.rs
+++ b/crates/node/src/node/tests/support.rs
@@ -111,8 +111,8 @@
     pub now: Nanos,
     /// Whether the executor leaves requests for gauges unanswered; otherwise it answers after 1 s.
     pub is_executor_silent: bool,
-    /// Mark of the last answered request for gauges, and the time since which a newer one waits (0
-    /// if none does).
+    /// Mark of the last answered request for gauges, and the time since which a newer request
+    /// waits; 0 if no request waits.
     pub gauges_request: (Option<u64>, Nanos),
 }
 
--- a/crates/node/src/program_version.rs
+++ b/crates/node/src/program_version.rs
@@ -15,9 +15,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramVersionError {
     /// A file or directory cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: cannot read: {source}", path.display())]
     Io {
-        /// The file or directory.
+        /// Path of the file or directory that cannot be read.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
--- a/crates/node/src/request.rs
+++ b/crates/node/src/request.rs
@@ -31,7 +31,7 @@
 pub enum RequestKind {
     /// A health check. A deep one also checks that the node can do work.
     HealthCheck {
-        /// Whether the health check is deep.
+        /// True if the health check also checks that the node can do work.
         is_deep: bool,
     },
     /// A call of an operation.
--- a/crates/node/src/request_rules.rs
+++ b/crates/node/src/request_rules.rs
@@ -39,7 +39,7 @@
 }
 
 impl HeldPermits {
-    /// Returns whether no permit and no unit is held.
+    /// Returns whether the request holds neither permits nor units.
     pub fn is_empty(&self) -> bool {
         self.permit.is_empty() && self.quotas.is_empty()
     }
@@ -48,9 +48,9 @@
 /// The limit that a request exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitReached {
-    /// A limit of this node.
+    /// A limit that this node applies to its own requests only.
     Node(LimitExceeded),
-    /// A limit of the whole cluster, with the key.
+    /// A limit of the whole cluster, with the hash of the request's key in the quota.
     Cluster(QuotaExceeded, u64),
 }
 
@@ -134,8 +134,8 @@
         self.define(now, &compiled.buckets, &compiled.quotas);
     }
 
-    /// Requests units of these quotas from the cluster from now on, in place of those of an earlier
-    /// call. The borrower takes about `bytes` bytes of memory.
+    /// Requests units of these quotas from the cluster from now on, in place of the quotas of an
+    /// earlier call. The borrower takes about `bytes` bytes of memory.
     pub fn join_cluster(
         &mut self,
         now: Nanos,
@@ -225,8 +225,8 @@
         })
     }
 
-    /// Acquires permits of all buckets and units of all their quotas, or of none if one limit is
-    /// reached.
+    /// Acquires permits of all buckets and units of all their quotas. If one limit is reached,
+    /// acquires nothing.
     pub fn acquire(
         &mut self,
         now: Nanos,
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -38,7 +38,7 @@
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The signal handlers or the signal thread cannot be set up.
-    #[error("signals: {0}")]
+    #[error("cannot set up signal handling: {0}")]
     Signals(std::io::Error),
     /// `PROXY_CONFIG` is not set.
     #[error("{CONFIG_VARIABLE} is not set")]
@@ -50,7 +50,7 @@
     #[error(transparent)]
     Supervisor(SupervisorClientError),
     /// The thread that listens to the supervisor cannot be started.
-    #[error("supervisor: {0}")]
+    #[error("cannot start the thread that listens to the supervisor: {0}")]
     SupervisorLink(std::io::Error),
     /// The settings file has errors; the text shows them with their lines.
     #[error("settings not taken:\n{0}")]
@@ -65,19 +65,19 @@
     #[error("rollout/@dir: {0}")]
     VersionStore(VersionStoreError),
     /// The settings file cannot be read.
-    #[error("{}: {error}", path.display())]
+    #[error("{}: cannot read the settings file: {error}", path.display())]
     Unreadable {
         /// Path of the settings file.
         path: PathBuf,
-        /// Error of the read.
+        /// Error that the operating system gave for the read.
         error: std::io::Error,
     },
     /// The node cannot listen, or its threads cannot be started.
-    #[error("listen {address}: {error}")]
+    #[error("cannot listen on {address} or start threads: {error}")]
     Listen {
         /// The configured listening address.
         address: SocketAddr,
-        /// Error of the failed step.
+        /// Error of the step that failed: opening the listener or starting a thread.
         error: std::io::Error,
     },
 }
--- a/crates/node/src/serve/settings.rs
+++ b/crates/node/src/serve/settings.rs
@@ -33,7 +33,7 @@
     Keys {
         /// Path of the key file.
         path: PathBuf,
-        /// What is wrong with the file.
+        /// Reason why the file cannot be used; shown after the path.
         problem: KeyFileProblem,
     },
     /// Nodes with the old keys and nodes with the new keys would have no key in common.
@@ -79,7 +79,7 @@
 #[derive(Debug, Error)]
 pub enum KeyFileProblem {
     /// The file cannot be read.
-    #[error("{0}")]
+    #[error("cannot read the file: {0}")]
     Unreadable(#[from] std::io::Error),
     /// The file is larger than 4 KiB; with its size in bytes.
     #[error("{0} bytes; expected {KEY_FILE_BYTES_MAX} at most")]
--- a/crates/node/src/serve/versions.rs
+++ b/crates/node/src/serve/versions.rs
@@ -25,7 +25,7 @@
 /// The settings in force, for the threads that may change them.
 #[derive(Debug)]
 pub struct InForce {
-    /// The version of the settings.
+    /// Number and content hash of the settings.
     pub version: Version,
     /// The `<fleet>` of the settings.
     pub cluster: ClusterSettings,
@@ -40,7 +40,7 @@
 
 /// The settings that a node starts with.
 pub struct LoadedSettings {
-    /// The settings.
+    /// The settings that the node runs with at first, from the file or a stored version.
     pub settings: Settings,
     /// The settings in force and the node's part in rollouts of settings; `None` if no versions are
     /// stored.
@@ -48,8 +48,8 @@
 }
 
 /// Reads the settings that the node starts with: the settings file or, if versions are stored, the
-/// stored version to start on. `another_process_serves` tells that another process of this node may still use the
-/// directory of versions.
+/// stored version to start on. With `another_process_serves`, another process of this node may
+/// still use the directory of versions.
 pub fn load(
     file: &Path,
     config: &Arc<NodeConfig>,
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -87,7 +87,7 @@
 
 /// The state of a node, and the actions through which it causes side effects.
 pub struct NodeState<A: Actions> {
-    /// Performs the side effects of state changes.
+    /// Implementation of [`Actions`] that performs the side effects of state changes.
     pub actions: A,
     /// Time of the event that is being handled.
     pub now: Nanos,
@@ -109,7 +109,7 @@
     key_hasher: RandomState,
     executor: ExecutorLinkState,
     backend: BackendState,
-    /// Latest load report of the admission controller.
+    /// Latest load report of the admission controller; `None` if there was none yet.
     load_report: Option<f64>,
     drain: DrainState,
     /// Rules in force; `None` if no rules are configured, in which case none are evaluated.
--- a/crates/node/src/state/backend_calls.rs
+++ b/crates/node/src/state/backend_calls.rs
@@ -46,7 +46,7 @@
     has_budget: bool,
     /// Whether the previous call for the same executor notice failed.
     is_retry: bool,
-    /// Dropping this prevents the call from being written.
+    /// Interest in the call. Once it is dropped, the call is not written any more.
     interest: CallInterest,
 }
 
@@ -89,7 +89,7 @@
 
 /// The links to the backend and the calls that are queued for budget units.
 pub struct BackendState {
-    /// Whether a backend is configured.
+    /// True if the configuration has a backend; without one no call can be made.
     is_configured: bool,
     links: [BackendLinkState; BACKEND_LINKS],
     last_call_id: u64,
@@ -112,7 +112,7 @@
 }
 
 impl<A: Actions> NodeState<A> {
-    /// Makes a backend call for an execution. A `timeout` of 0 stands for the client timeout of the
+    /// Makes a backend call for an execution. A `timeout` of 0 means the client timeout of the
     /// request's operation. A call that cannot be made ends as not executed.
     pub fn start_backend_call(&mut self, id: RequestId, timeout: Nanos) {
         let Some(request) = self.requests.get(&id) else {
@@ -206,7 +206,7 @@
         call_id
     }
 
-    /// Chooses the link for a call: one that is not silent is preferred, then the one with the
+    /// Chooses the link for a call: links that are not silent are preferred, then the link with the
     /// fewest calls. Links on which the request may still get a late reply are excluded.
     fn choose_link(&self, id: RequestId) -> Option<usize> {
         let mut calls = [0; BACKEND_LINKS];
@@ -262,7 +262,7 @@
     }
 
     /// Sets a timer to send queued calls after `wait`, but no sooner than after 1 ms. Does nothing
-    /// if an earlier one is set.
+    /// if an earlier timer is set.
     fn set_queue_check(&mut self, wait: Nanos) {
         let due = self.now + wait.max(MILLISECOND);
         if self
@@ -364,8 +364,8 @@
             .cancel_backend_call(link, backend::cancel(correlation_id));
     }
 
-    /// Records that a call was written completely. Returns whether its connection is known to have
-    /// ended since.
+    /// Records that a call was written completely. Returns whether the connection that it was
+    /// written on is known to have ended since.
     pub fn backend_call_written(
         &mut self,
         call_id: CallId,
--- a/crates/node/src/state/cluster_counters.rs
+++ b/crates/node/src/state/cluster_counters.rs
@@ -50,7 +50,7 @@
         Some(self.cluster_counting.as_ref()?.rows[operation.0])
     }
 
-    /// Adds to a column of the process's own row.
+    /// Adds `times` to a column of the row that counts the process as a whole.
     pub fn count_own(&mut self, column: usize, times: u64) {
         self.with_counters(|counters, unix_ms| counters.add(unix_ms, PROCESS_ROW, column, times));
     }
--- a/crates/node/src/state/connections.rs
+++ b/crates/node/src/state/connections.rs
@@ -13,8 +13,8 @@
 /// When a connection is closed, how long to wait for the rest of a request that has arrived in
 /// part.
 const PARTIAL_REQUEST_WAIT: Nanos = 1000 * MILLISECOND;
-/// Like [`PARTIAL_REQUEST_WAIT`], for the connection of an identified peer, whose network may be
-/// slow.
+/// Like [`PARTIAL_REQUEST_WAIT`], but for the connection of an identified peer. The peer's network
+/// may be slow.
 const PARTIAL_REQUEST_WAIT_IDENTIFIED: Nanos = 3000 * MILLISECOND;
 /// Number of consecutive unsuccessful answers that count as one strike against an unidentified
 /// peer.
@@ -55,7 +55,7 @@
     pub strikes: u32,
     /// Due time of the idle check timer, if one is set.
     pub idle_check_at: Option<Nanos>,
-    /// Whether the connection is closed once nothing is open on it.
+    /// True if the connection is closed once no request or health check is open on it.
     pub close_when_done: bool,
     /// Number of events of this connection that the node has handled.
     events_handled: u64,
@@ -65,7 +65,7 @@
 }
 
 impl<A: Actions> NodeState<A> {
-    /// Adds a load balancer's connection, and closes an idle one if too many are open.
+    /// Adds a load balancer's connection, and closes an idle connection if too many are open.
     pub fn connected(&mut self, connection_id: ConnectionId, address: Option<IpAddr>) {
         let new = ClientConnection {
             open: BTreeMap::new(),
@@ -111,7 +111,7 @@
     }
 
     /// Drops the reply target of an open item whose client no longer waits. Returns the request, if
-    /// the item was one in flight.
+    /// the item was a request in flight.
     fn detach(&mut self, item: OpenItem) -> Option<RequestId> {
         match item {
             OpenItem::Received => None,
@@ -194,8 +194,8 @@
             .is_some_and(|connection| connection.open.len() > MAX_OPEN)
     }
 
-    /// Sends the final reply to a request. If nothing else is open on the connection, closes it or
-    /// starts its idle time.
+    /// Sends the final reply to a request. If nothing else is open on the connection, closes the
+    /// connection or starts its idle time.
     pub fn finish(&mut self, target: ReplyTarget, reply: Reply) {
         let ReplyTarget {
             connection_id,
@@ -248,8 +248,8 @@
     }
 
     /// Answers a request that a rule or a limit decided before it reached the admission controller.
-    /// The request never ran. `retry_after` is capped at the longest one that load balancers heed,
-    /// and sent only with status 429.
+    /// The request never ran. `retry_after` is capped at the longest Retry-After that load
+    /// balancers heed, and sent only with status 429.
     pub fn reject_by_policy(
         &mut self,
         target: ReplyTarget,
@@ -312,7 +312,7 @@
     }
 
     /// Records a strike against a connection. The pause before each read doubles with each strike;
-    /// after the last one the connection is closed.
+    /// after the last strike the connection is closed.
     pub fn strike(&mut self, connection_id: ConnectionId) {
         let Some(connection) = self
             .connections
--- a/crates/node/src/state/drain.rs
+++ b/crates/node/src/state/drain.rs
@@ -9,7 +9,7 @@
 /// Time that peers have to read the last answers before the process ends.
 const FLUSH_TIME: Nanos = 100 * MILLISECOND;
 
-/// Progress of the drain.
+/// Progress of the drain; also present before the drain starts.
 #[derive(Debug)]
 pub struct DrainState {
     /// Time at which the drain began; `None` if the node is not draining.
@@ -21,7 +21,7 @@
     pub closes_connections: bool,
     /// Whether new connections may still arrive.
     is_listening: bool,
-    /// Whether the time for draining is over.
+    /// True once the time for draining is over; the process then ends even with open requests.
     is_over: bool,
 }
 
--- a/crates/node/src/state/executions.rs
+++ b/crates/node/src/state/executions.rs
@@ -11,7 +11,7 @@
 /// commands sent within this delay are uncertain when the link breaks.
 const START_MARK_DELAY: Nanos = 10 * MILLISECOND;
 
-/// Whether an execution waits for a backend call.
+/// State of an execution with regard to its backend calls.
 #[derive(Debug)]
 pub enum ExecutionWait {
     /// The execution runs and waits for nothing.
@@ -41,7 +41,7 @@
     pub cancel_command: Option<u64>,
     /// Whether the executor has sent a notice that confirms the execution.
     pub is_acknowledged: bool,
-    /// Whether the execution waits for a backend call.
+    /// Whether the execution runs, waits for a backend call, or was told to continue after a call.
     pub wait: ExecutionWait,
     /// Body of the latest requested backend call.
     pub call_body: Vec<u8>,
@@ -183,7 +183,7 @@
     }
 
     /// Sends the resume command of an execution if `is_missing` returns true for the number of the
-    /// last one sent, which is 0 if none was sent.
+    /// last resume command sent, or for 0 if none was sent.
     pub fn resend_resume(&mut self, id: RequestId, is_missing: impl Fn(u64) -> bool) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -288,9 +288,10 @@
         Some(id)
     }
 
-    /// Sends another start command for executions whose requests were answered long ago. For a
-    /// request that is over, the executor answers MOOT if no execution exists, because the notice
-    /// of its end was lost, and does nothing if one exists.
+    /// Sends another start command for executions whose requests were answered long ago. These
+    /// requests are over, so the command runs nothing. If no execution exists, the notice of its
+    /// end was lost, and the executor answers MOOT. If the execution exists, the executor does
+    /// nothing.
     pub fn query_overdue_executions(&mut self) {
         if !self.executor.is_in_step() {
             return; // notices missed without a link are replayed first
--- a/crates/node/src/state/executor_link.rs
+++ b/crates/node/src/state/executor_link.rs
@@ -34,8 +34,8 @@
     sent: u64,
     /// Number of the latest command known to have arrived.
     arrived: u64,
-    /// Mark whose return shows that all missed notices were read, or, before a replacement of the
-    /// link, that all commands on it arrived.
+    /// Command number of a request for gauges. Its answer shows that all missed notices were read
+    /// or, while a replacement of the link is pending, that all commands on the old link arrived.
     step_mark: u64,
     /// Whether the link is replaced once all commands written on it are known to have arrived.
     is_reconnecting: bool,
@@ -46,7 +46,8 @@
     awaits_answer: bool,
     /// Number of consecutive checks that found a request for gauges unanswered.
     silent_checks: u32,
-    /// Time of the last such check or of the last answer, whichever is later.
+    /// Time of the last check that found a request for gauges unanswered, or of the last answer,
+    /// whichever is later.
     checked_at: Nanos,
 }
 
@@ -105,8 +106,8 @@
 
     /// Applies a new configuration. If the executor's address changed, the link moves once the
     /// answer to one more request for gauges shows that all commands on the old link arrived;
-    /// further commands wait meanwhile. Closing the old link immediately would make executions
-    /// uncertain whose commands are still on their way.
+    /// further commands wait meanwhile. If the old link were closed immediately, the executions
+    /// whose commands are still on their way would become uncertain.
     pub fn config_changed(&mut self, changed: &ConfigUpdate) {
         let ConfigUpdate {
             peers,
@@ -135,8 +136,10 @@
         self.request_gauges();
     }
 
-    /// Replaces a link that is being moved, if all commands on it are known to have arrived
-    /// (`mark`) or the time to wait for that is over.
+    /// Closes the link to the executor's previous address, so that a link to the new address
+    /// replaces it. `mark` is the number of a command up to which all commands are known to have
+    /// arrived, or the number in a due [`Timer::ReconnectExecutor`]. Does nothing if no replacement
+    /// is pending, or if `mark` is below the number of the last command on the old link.
     pub fn replace_executor_link(&mut self, mark: u64) {
         if self.executor.is_reconnecting && mark >= self.executor.step_mark {
             (self.executor.is_up, self.executor.is_reconnecting) = (false, false);
@@ -261,10 +264,10 @@
         }
     }
 
-    /// Fails a request whose execution is still uncertain: the executor has sent no notice of it
-    /// since the link was lost on which it was started. The client is answered now instead of at
-    /// its client timeout. The second start command runs nothing, as the request is over; it only
-    /// makes the executor report whether the execution exists.
+    /// Fails a request whose execution is still uncertain: the executor has sent no notice of the
+    /// execution since the link was lost on which the execution was started. The client is answered
+    /// now instead of at its client timeout. The second start command runs nothing, as the request
+    /// is over; it only makes the executor report whether the execution exists.
     pub fn fail_uncertain_execution(&mut self, id: RequestId) {
         let is_unacknowledged = self
             .requests
--- a/crates/node/src/state/health_checks.rs
+++ b/crates/node/src/state/health_checks.rs
@@ -16,7 +16,7 @@
 /// The health that checks are answered with, and the deep checks that wait for the executor.
 #[derive(Debug)]
 pub struct HealthChecks {
-    /// Whether the admission controller considers the node healthy.
+    /// True if the admission controller considers the node healthy, so that checks succeed.
     is_healthy: bool,
     /// Whether deep checks are answered with `is_healthy` as well, without asking the executor.
     answers_deep_from_store: bool,
--- a/crates/node/src/state/idle_connections.rs
+++ b/crates/node/src/state/idle_connections.rs
@@ -23,7 +23,7 @@
     timeout: Nanos,
     /// Idle timeout of the deployment, or the default.
     configured_timeout: Nanos,
-    /// Number of open connections above which an idle one is closed for each new one.
+    /// Number of open connections above which an idle connection is closed for each new connection.
     pub eviction_threshold: usize,
 }
 
@@ -71,7 +71,7 @@
         connection.idle_since + after
     }
 
-    /// Sets the idle check timer of a connection to `due`, unless an earlier one is set.
+    /// Sets the idle check timer of a connection to `due`, unless an earlier timer is set.
     pub fn set_idle_check(&mut self, connection_id: ConnectionId, due: Nanos) {
         let Some(connection) = self.connections.get_mut(&connection_id) else {
             return;
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Sets the idle timeout, also for connections that are idle now; 0 restores the deployment's.
+    /// Sets the idle timeout, also for connections that are idle now; 0 restores the timeout of the
+    /// deployment.
     pub fn set_idle_timeout(&mut self, timeout: Nanos) {
         self.idle.timeout = if timeout == 0 {
             self.idle.configured_timeout
@@ -126,8 +127,8 @@
     }
 
     /// Closes an idle connection to make room for another. Connections that never sent a complete
-    /// request are closed first, then those with a single request or without a successful one, then
-    /// the others; within each group the one that has been idle longest.
+    /// request are closed first, then those with a single request or without a successful request,
+    /// then the others; within each group the connection that has been idle longest.
     pub fn evict_idle_connection(&mut self) {
         let may_be_starting = |connection: &ClientConnection| {
             connection.requests_received == 0 && self.now < connection.idle_since + MIN_EVICTION_AGE
--- a/crates/node/src/state/requests.rs
+++ b/crates/node/src/state/requests.rs
@@ -73,7 +73,8 @@
     pub tainted_links: [bool; BACKEND_LINKS],
     /// Key that identifies repeats of the request.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// Earlier request that this one repeats.
+    /// Earlier request with the same idempotency key, which this request repeats; `None` if there
+    /// is none.
     pub repeat_of: Option<RequestId>,
     /// Time at which the request was coalesced with the one that it repeats.
     pub coalesced_at: Option<Nanos>,
@@ -306,7 +307,7 @@
         }
     }
 
-    /// Answers a request that was coalesced with another, with that one's result. Returns the
+    /// Answers a request with the result of the request that it was coalesced with. Returns the
     /// outcome and the time since the request was coalesced.
     pub fn answer_coalesced(
         &mut self,
--- a/crates/node/src/state/shared_limits.rs
+++ b/crates/node/src/state/shared_limits.rs
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Checks whether the backend gate admits a request. Returns true if the gate admitted it, and
-    /// false if the gate does not apply to it. The error is the time after which a retry may
-    /// succeed.
+    /// Checks whether the backend gate admits a request. Returns true if the gate admitted the
+    /// request, and false if the gate does not apply to the request. The error is the time after
+    /// which a retry may succeed.
     pub fn check_backend_gate(
         &mut self,
         operation: OperationId,
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Returns whether the health of the backend service admits a call; true if it is not tracked.
+    /// Returns whether the health of the backend service admits a call; true if the health is not
+    /// tracked.
     pub fn service_health_admits(&mut self, is_gated: bool) -> bool {
         self.with_service_health(|health, now| health.admits(now, is_gated))
             .unwrap_or(true)
@@ -117,7 +118,8 @@
     }
 
     /// Applies `f` to the health of the backend service, and logs a change of the health state or a
-    /// rise of the admitted share during recovery. Returns `None` if the health is not tracked.
+    /// rise of the share of admitted calls during recovery. Returns `None` if the health is not
+    /// tracked.
     pub fn with_service_health<T>(
         &mut self,
         f: impl FnOnce(&mut ServiceHealth, Nanos) -> T,
@@ -147,7 +149,7 @@
     }
 
     /// Sets a timer for the next quota request, unless an earlier one is set. A timer that fires
-    /// too soon only sets the next one.
+    /// too soon only sets the next timer.
     pub fn set_quota_request_timer(&mut self) {
         let due = self
             .rules
--- a/crates/node/src/state/timers.rs
+++ b/crates/node/src/state/timers.rs
@@ -13,15 +13,16 @@
     RequestGauges,
     /// Timeout of a backend call.
     BackendCallTimeout(RequestId, CallId),
-    /// Timeout of the deep health check with this mark.
+    /// Timeout of the deep health check with this mark, the number that the executor repeats.
     HealthCheckTimeout(u64),
     /// Check whether a connection's idle timeout has expired. The second field is the time that the
     /// timer was set for.
     IdleConnection(ConnectionId, Nanos),
-    /// Replace the link to the executor, even if commands up to this mark are not known to have
-    /// arrived.
+    /// Replace the link to the executor, even if the commands up to the command with this number
+    /// are not known to have arrived.
     ReconnectExecutor(u64),
-    /// Fail the request of an uncertain execution if the executor has sent no notice of it.
+    /// Fail a request whose start command may have been lost with the link to the executor, if the
+    /// executor has sent no notice of the request's execution by now.
     UncertainExecution(RequestId),
     /// Stop listening at the end of the drain grace.
     StopAccepting,
--- a/crates/node/src/supervisor.rs
+++ b/crates/node/src/supervisor.rs
@@ -42,9 +42,9 @@
     pub programs: PathBuf,
     /// Version to start on: a directory, or the name of a subdirectory of `programs`.
     pub start: PathBuf,
-    /// Directory for the persisted state.
+    /// Directory in which the supervisor stores which version is in force.
     pub state: PathBuf,
-    /// Arguments of the program.
+    /// Arguments with which each process of the program is started.
     pub arguments: Vec<String>,
     pub logging: log::Options,
 }
@@ -53,7 +53,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum SupervisorError {
     /// The signal handlers cannot be installed.
-    #[error("signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
     /// The environment does not name the configuration.
     #[error("PROXY_CONFIG is not set")]
@@ -68,15 +68,15 @@
     #[error(transparent)]
     Store(#[from] VersionStoreError),
     /// The listening socket cannot be opened.
-    #[error("listen {address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// Address from the configuration.
+        /// Address to listen on, from the configuration file.
         address: SocketAddr,
         /// The error of the operating system.
         source: io::Error,
     },
     /// The address of the listening socket cannot be determined.
-    #[error("{0}")]
+    #[error("cannot determine the address of the listening socket: {0}")]
     Address(io::Error),
 }
 
--- a/crates/node/src/supervisor_client.rs
+++ b/crates/node/src/supervisor_client.rs
@@ -66,9 +66,10 @@
 /// What the supervisor handed over to this process.
 #[derive(Debug)]
 pub struct Adopted {
-    /// The link to the supervisor.
+    /// The link for reports and requests to the supervisor.
     pub link: Arc<Link>,
-    /// The start instructions.
+    /// The start instructions: the version to run, the persisted state, and whether another process
+    /// still serves.
     pub begin: StartInstructions,
     /// The listening socket; present unless the caller has taken it.
     pub listener: Option<TcpListener>,
--- a/crates/node/src/version_store.rs
+++ b/crates/node/src/version_store.rs
@@ -22,9 +22,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum VersionStoreError {
     /// A file or directory cannot be read or written.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: cannot read or write: {source}", path.display())]
     Io {
-        /// The file or directory.
+        /// Path of the file or directory.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
@@ -47,8 +47,8 @@
     }
 }
 
-/// The node cannot start, because none of the versions that it may start on can be run. The value
-/// is the error of the first one.
+/// The node cannot start, because none of the candidate versions can be run. The value is the error
+/// of the first candidate.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct NoVersionToStartOn(String);
@@ -59,7 +59,8 @@
     dir: PathBuf,
     kind: Kind,
     lock: Option<File>,
-    /// State file as read without the lock. It must be unchanged when the lock is taken.
+    /// Content of the state file as read without the lock. The file must be unchanged when the lock
+    /// is taken.
     read_before_lock: Option<Vec<u8>>,
 }
 
@@ -123,7 +124,7 @@
         Ok(store)
     }
 
-    /// Returns the path of the node's directory.
+    /// Returns the path of the directory that this store reads and writes.
     pub fn path(&self) -> &Path {
         &self.dir
     }
--- a/crates/node/tests/rollout.rs
+++ b/crates/node/tests/rollout.rs
@@ -108,7 +108,7 @@
 
 /// Two nodes run a build whose messages have a later version, with an added field, some removed
 /// fields and kinds unknown to the others. All nodes see each other, share quotas and budgets, and
-/// a rollout offered by one of the later ones reaches all.
+/// a rollout offered by a node with the later build reaches all nodes.
 #[test]
 fn two_builds_with_different_messages_form_one_fleet() {
     let scenario = read("rollout-later.xml");
