--- a/crates/deployment-config/src/decode.rs
+++ b/crates/deployment-config/src/decode.rs
@@ -151,7 +151,7 @@
     operations: Vec<Operation>,
 ) -> Result<Deployment, DeploymentError> {
     let (ceilings, extra, rules) = (&settings.ceilings, &settings.extra, &settings.rules);
-    // Settings of a shared downstream service; they are optional and unused without one.
+    // Settings of a shared downstream service. Without such a service they are optional and unused.
     let shared = |value: Option<f64>, field: &str| match (downstream, value) {
         (Downstream::SharedService, None) => Err(DeploymentError::Missing {
             field: field.to_owned(),
--- a/crates/deployment-config/src/error.rs
+++ b/crates/deployment-config/src/error.rs
@@ -5,13 +5,14 @@
 /// Error of decoding the settings. Each message names the field by its path in the JSON.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum DeploymentError {
-    /// The text is not a JSON object, or other text follows the object.
-    #[error("{0}")]
+    /// The text is not a JSON object, or other text follows the object; carries the message of the
+    /// JSON decoder.
+    #[error("not a valid JSON object: {0}")]
     Malformed(String),
     /// A required field is missing, or a field has the wrong type.
     #[error("{field}: {cause}")]
     WrongType {
-        /// Path of the field.
+        /// Path of the field in the JSON, such as `Extra.MemLimitKb`.
         field: String,
         /// Message of the JSON decoder.
         cause: String,
@@ -22,25 +23,25 @@
         DeploymentError::MAX_TIME_S
     )]
     TimeOutOfRange {
-        /// Path of the field.
+        /// Path of the field in the JSON, such as `Extra.MemLimitKb`.
         field: String,
-        /// Value of the field, in seconds.
+        /// Rejected value, in seconds.
         seconds: f64,
     },
     /// A time that must be longer than 0 rounds to 0 nanoseconds.
     #[error("{field} is {seconds} s, must be at least 1 ns")]
     ZeroTime {
-        /// Path of the field.
+        /// Path of the field in the JSON, such as `Extra.MemLimitKb`.
         field: String,
-        /// Value of the field, in seconds.
+        /// Rejected value, in seconds.
         seconds: f64,
     },
-    /// A share, factor or amount is negative or not finite.
+    /// A fraction, factor or amount is negative or not finite.
     #[error("{field} is {value}, must be finite and at least 0")]
     AmountOutOfRange {
-        /// Path of the field.
+        /// Path of the field in the JSON, such as `Extra.MemLimitKb`.
         field: String,
-        /// Value of the field.
+        /// Rejected value.
         value: f64,
     },
     /// A count is less than `min` or more than [`DeploymentError::MAX_COUNT`].
@@ -49,9 +50,9 @@
         DeploymentError::MAX_COUNT
     )]
     CountOutOfRange {
-        /// Path of the field.
+        /// Path of the field in the JSON, such as `Extra.MemLimitKb`.
         field: String,
-        /// Value of the field.
+        /// Rejected value.
         value: usize,
         /// Smallest value that is accepted.
         min: usize,
@@ -59,7 +60,7 @@
     /// An optional field is missing although the other settings require it.
     #[error("{field} is missing: {reason}")]
     Missing {
-        /// Path of the field.
+        /// Path of the field in the JSON, such as `Extra.MemLimitKb`.
         field: String,
         /// Condition under which the field is required.
         reason: &'static str,
@@ -67,9 +68,9 @@
     /// The value of an enumerated field is not one of its known names.
     #[error("{field} is unknown: {value:?}")]
     Unknown {
-        /// Path of the field.
+        /// Path of the field in the JSON, such as `Extra.MemLimitKb`.
         field: String,
-        /// Value of the field.
+        /// Rejected value.
         value: String,
     },
     /// The list of operations is empty.
@@ -80,7 +81,7 @@
     EmptyName {
         /// Name of the list, `Services` or `Tenants`.
         list: &'static str,
-        /// Index in the list.
+        /// Index of the nameless entry in `list`, counted from 0.
         index: usize,
     },
     /// Two operations or two tenants have the same name.
@@ -88,7 +89,7 @@
     DuplicateName {
         /// Name of the list, `Services` or `Tenants`.
         list: &'static str,
-        /// Index of the second entry with the name.
+        /// Index of the second entry with the name, counted from 0.
         index: usize,
         /// Name that both entries have.
         name: String,
@@ -101,15 +102,15 @@
         field: &'static str,
         /// Number of values in the list.
         values: usize,
-        /// Number of operations.
+        /// Number of operations in the settings, which the list must match.
         operations: usize,
     },
 }
 
 impl DeploymentError {
-    /// Longest time that is accepted, in seconds: a hundred days. A longer one is taken for a
-    /// mistake of the unit.
+    /// Longest time that is accepted, in seconds: a hundred days. A longer time is rejected, since
+    /// it was probably given in another unit.
     pub const MAX_TIME_S: f64 = 8_640_000.0;
-    /// Highest number of cores, nodes, load balancers or operations that is accepted.
+    /// Highest accepted number of cores, nodes, load balancers or operations.
     pub const MAX_COUNT: usize = 1 << 20;
 }
--- a/crates/deployment-config/src/fields.rs
+++ b/crates/deployment-config/src/fields.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Checks a share, a factor or an amount: it must be finite and at least 0.
+/// Checks a fraction, a factor or an amount: the value must be finite and at least 0.
 pub(crate) fn amount(value: f64, field: &str) -> Result<f64, DeploymentError> {
     if value.is_finite() && value >= 0.0 {
         Ok(value)
@@ -39,7 +39,7 @@
     }
 }
 
-/// Checks a count: it must be from `min` to [`DeploymentError::MAX_COUNT`].
+/// Checks a count: the value must be from `min` to [`DeploymentError::MAX_COUNT`].
 pub(crate) fn count(value: usize, min: usize, field: &str) -> Result<usize, DeploymentError> {
     if (min..=DeploymentError::MAX_COUNT).contains(&value) {
         Ok(value)
--- a/crates/deployment-config/src/settings.rs
+++ b/crates/deployment-config/src/settings.rs
@@ -22,7 +22,7 @@
     pub(crate) worth_by: String,
 }
 
-/// Limits of what load balancers honour.
+/// How far load balancers follow a node's requests to hold back.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct Ceilings {
--- a/crates/identity/src/bundle.rs
+++ b/crates/identity/src/bundle.rs
@@ -29,7 +29,7 @@
         bytes: usize,
     },
     /// The document is not a JSON Web Key Set; carries the parser's message.
-    #[error("{0}")]
+    #[error("not a valid JSON Web Key Set: {0}")]
     Json(String),
     /// The key set has more than 256 keys.
     #[error("bundle with {keys} keys, at most {KEYS_MAX} are allowed")]
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
     /// The entry is not a JSON Web Key; carries the parser's message.
-    #[error("{0}")]
+    #[error("not a valid JSON Web Key: {0}")]
     Json(String),
     /// `x5c` is absent, empty, or has more than one certificate.
     #[error("x5c must have exactly one certificate")]
@@ -75,7 +75,7 @@
 pub struct JwtKey {
     /// Key id (`kid`) that the header of a token names; unique in its bundle.
     pub id: String,
-    /// Public key to which the id belongs.
+    /// Public key that verifies the tokens that name `id`.
     pub key: PublicKey,
 }
 
@@ -118,8 +118,8 @@
     /// Sequence number, which the issuer increases with each change; `None` if the issuer sets
     /// none.
     pub sequence: Option<u64>,
-    /// Interval after which the bundle should be fetched again, in nanoseconds. A bundle that was
-    /// read from a document has between 1 s and 24 h.
+    /// Interval after which the bundle should be fetched again, in nanoseconds. The interval of a
+    /// bundle that was read from a document is from 1 s to 24 h.
     pub refresh: Nanos,
     /// Certificates of the authorities that sign X.509-SVIDs, in DER.
     pub x509: Vec<Vec<u8>>,
@@ -276,11 +276,11 @@
     Taken,
     /// The offered bundle equals the one in force; nothing changed.
     Same,
-    /// The bundle was refused: its sequence number is below that of the bundle in force, so it is
-    /// an old one that was replayed or delayed.
+    /// The bundle was refused: its sequence number is below that of the bundle in force, so the
+    /// offered bundle is an old one that was replayed or delayed.
     GoesBack,
-    /// The bundle was refused: it has the sequence number of the bundle in force and different
-    /// contents.
+    /// The bundle was refused: the offered bundle has the sequence number of the bundle in force
+    /// and different contents.
     Contradicts,
 }
 
@@ -288,13 +288,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Bundles {
     by_domain: BTreeMap<TrustDomain, Bundle>,
-    /// Number of changes, by which decisions that were made with older bundles are recognised.
+    /// Number of changes of the set so far. Cached decisions store this number, so that decisions
+    /// made with older bundles are recognised.
     version: u64,
 }
 
 impl Bundles {
     /// Puts a bundle in force for a trust domain, unless its sequence number shows that it is
-    /// outdated or contradicts the one in force. Without sequence numbers on both sides, the new
+    /// outdated or contradicts the one in force. If either bundle has no sequence number, the new
     /// bundle wins.
     pub fn offer(&mut self, domain: &TrustDomain, bundle: Bundle) -> OfferOutcome {
         if let Some(current) = self.by_domain.get(domain) {
@@ -332,7 +333,7 @@
         self.version
     }
 
-    /// Returns the trusted domains in the order of their names.
+    /// Returns the trust domains with a bundle in force, in the order of their names.
     pub fn domains(&self) -> impl Iterator<Item = &TrustDomain> {
         self.by_domain.keys()
     }
--- a/crates/identity/src/jwt.rs
+++ b/crates/identity/src/jwt.rs
@@ -25,10 +25,10 @@
     TooLong,
     /// 2: the token is not in the compact form: three parts in base64url, of which the first two
     /// are JSON objects with the expected members.
-    #[error("not in the compact form (JWT-SVID 2)")]
+    #[error("token is not in the compact form (JWT-SVID 2)")]
     Form,
-    /// 2.1: the standard does not allow the algorithm (such as `none`), or it is not supported
-    /// (ES512).
+    /// 2.1: the standard does not allow the algorithm (such as `none`), or this module does not
+    /// support the algorithm (ES512).
     #[error("algorithm {0:?} is not supported (JWT-SVID 2.1)")]
     Algorithm(String),
     /// 2.3: `typ` is present and neither `JWT` nor `JOSE`.
@@ -47,16 +47,17 @@
     #[error("token has no expiry (JWT-SVID 3.3)")]
     NoExpiry,
     /// 3.3: the token expired longer ago than the clock skew.
-    #[error("expired (JWT-SVID 3.3)")]
+    #[error("token has expired (JWT-SVID 3.3)")]
     Expired,
     /// The validity of the token (`nbf`) starts later than the clock skew allows.
-    #[error("not valid yet")]
+    #[error("token is not valid yet")]
     NotYet,
-    /// 4: no bundle is in force for the trust domain of the subject; carries its name.
+    /// 4: no bundle is in force for the trust domain of the subject; carries the name of the trust
+    /// domain.
     #[error("trust domain {0} is not known")]
     UnknownDomain(String),
-    /// 4: the bundle of the trust domain has no key with the key id of the token, or none that fits
-    /// the algorithm.
+    /// 4: the bundle of the trust domain has no key that fits the key id and the algorithm of the
+    /// token.
     #[error("trust domain has no key with this key id and algorithm (JWT-SVID 4)")]
     UnknownKey,
     /// 4: no tried key verifies the signature.
@@ -140,7 +141,7 @@
 /// Identity that a valid token proves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VerifiedToken {
-    /// Subject of the token.
+    /// SPIFFE id that the token names as its subject.
     pub id: SpiffeId,
     /// End of the token's validity (`exp`), in nanoseconds since the Unix epoch.
     pub not_after: Nanos,
@@ -205,7 +206,7 @@
 ///
 /// # Errors
 ///
-/// Returns the first check that fails.
+/// Returns the error of the first check that fails.
 pub fn check(
     token: &str,
     bundles: &Bundles,
--- a/crates/identity/src/rotation.rs
+++ b/crates/identity/src/rotation.rs
@@ -35,7 +35,7 @@
 pub struct Svid {
     /// SPIFFE id of the identity.
     pub id: SpiffeId,
-    /// Number that distinguishes the identity from all others; never reused.
+    /// Number that distinguishes this identity from all others; never reused.
     pub serial: u64,
     /// Start of the validity, in nanoseconds.
     pub not_before: Nanos,
@@ -67,8 +67,8 @@
     /// The end of the validity is not after its start.
     #[error("the validity of the identity ends before it starts")]
     Backwards,
-    /// The identity expires before the current one, which is still presented: it is an old one that
-    /// arrived late.
+    /// The identity expires before the current one, which is still presented: the new one is an
+    /// older identity that arrived late.
     #[error("the identity expires before the current one")]
     Older,
     /// The identity belongs to a different trust domain than the current one; a rotation never
@@ -77,7 +77,7 @@
     Foreign,
 }
 
-/// State of a [`Rotation`] as it is logged.
+/// State of a [`Rotation`], which is logged when it changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RotationState {
     /// No identity has been received yet.
@@ -86,7 +86,7 @@
     Holding,
     /// A valid identity is presented, and the last request to the issuer failed.
     Orphaned,
-    /// The last received identity has expired; none is presented.
+    /// The last received identity has expired; no identity is presented.
     Expired,
 }
 
@@ -105,12 +105,12 @@
 pub struct Rotation {
     skew: Nanos,
     current: Option<Svid>,
-    /// Serial of the presented identity.
+    /// Serial of the presented identity; `None` while no identity is presented.
     presented: Option<u64>,
     stream: Stream,
     /// Time at which the next identity is requested although the stream is open.
     renew_at: Nanos,
-    /// Consecutive failures.
+    /// Number of consecutive failures of the stream to the issuer.
     failures: u32,
     logged_at: Nanos,
     state: RotationState,
--- a/crates/identity/src/sessions.rs
+++ b/crates/identity/src/sessions.rs
@@ -18,7 +18,7 @@
 /// Number of a connection, which is never reused.
 pub type ConnectionId = u64;
 
-/// Decision of the policy on a peer.
+/// Decision of the policy whether the requests of a peer are served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PolicyDecision {
     /// The requests of the peer are served.
@@ -46,7 +46,7 @@
     Withdrawn,
 }
 
-/// Reason why a connection closes once no request is open on it, or cannot be opened.
+/// Reason why a connection cannot be opened, or closes as soon as no request is open on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CloseReason {
     /// The identity has expired, including the grace.
@@ -63,7 +63,7 @@
     /// End of the validity of the identity plus the grace.
     expires_at: Nanos,
     authority: Authority,
-    /// Reason why the connection is no longer served.
+    /// Reason why the connection is no longer served; `None` while it is served.
     closing: Option<CloseReason>,
     /// Cached decision, with the versions of the policy and of the bundles for which it was made.
     decision: Option<(u64, u64, PolicyDecision)>,
@@ -87,7 +87,7 @@
 /// Open connections with an identity.
 #[derive(Debug)]
 pub struct Sessions {
-    /// Time for which an expired identity is still accepted.
+    /// Time for which an expired identity is still accepted, in nanoseconds; at most [`SKEW_MOST`].
     grace: Nanos,
     by_conn: HashMap<ConnectionId, Session>,
     /// Served connections in the order in which they expire.
@@ -162,7 +162,8 @@
         }
     }
 
-    /// Returns the id with which a connection was opened.
+    /// Returns the SPIFFE id with which a connection was opened; `None` if it was opened without an
+    /// identity or is not open.
     pub fn id(&self, conn: ConnectionId) -> Option<&Rc<SpiffeId>> {
         self.by_conn.get(&conn).map(|session| &session.id)
     }
--- a/crates/identity/src/workload.rs
+++ b/crates/identity/src/workload.rs
@@ -87,8 +87,8 @@
 /// Reason why a response of the issuer cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum WorkloadApiError {
-    /// The framing or a message is invalid; carries the part.
-    #[error("cannot be parsed: {0}")]
+    /// The framing or a message is invalid; carries the name of the invalid part or the reason.
+    #[error("response cannot be parsed: {0}")]
     Garbage(&'static str),
     /// A message is larger than [`MESSAGE_MAX`], or has more than 16 identities or 64 trust
     /// domains.
@@ -108,7 +108,7 @@
     Svid(x509::X509SvidError),
     /// The name of a trust domain is invalid, or a federated domain is the identity's own; carries
     /// the name.
-    #[error("not a valid trust domain, or not a federated one: {0:?}")]
+    #[error("{0:?} is not a valid trust domain, or is the identity's own trust domain")]
     Domain(String),
 }
 
@@ -247,7 +247,7 @@
 ///
 /// # Errors
 ///
-/// Returns the first check that fails.
+/// Returns the error of the first check that fails.
 pub fn x509_update(message: &[u8], now: Nanos, skew: Nanos) -> Result<Update, WorkloadApiError> {
     let response = X509SvidResponse::decode(message)
         .map_err(|_| WorkloadApiError::Garbage("X509SVIDResponse"))?;
@@ -334,8 +334,8 @@
 
 impl Bundles {
     /// Replaces the X.509 authorities with those of an update and returns whether anything changed.
-    /// Trust domains that the update does not contain are no longer trusted; the JWT keys of the
-    /// others stay.
+    /// Trust domains that the update does not contain are no longer trusted; the JWT keys of all
+    /// other trust domains stay.
     pub fn take_x509(&mut self, update: &[(TrustDomain, Vec<Vec<u8>>)]) -> bool {
         let before = self.version();
         let removed: Vec<TrustDomain> = self
--- a/crates/identity/src/x509.rs
+++ b/crates/identity/src/x509.rs
@@ -47,7 +47,7 @@
     #[error("leaf has {0} URIs among its alternative names, exactly 1 is required (X509-SVID 2)")]
     Uris(usize),
     /// 2: the URI is not a valid SPIFFE id.
-    #[error("not a valid SPIFFE id: {0}")]
+    #[error("URI of the leaf is not a valid SPIFFE id: {0}")]
     NoId(SpiffeIdError),
     /// 4.1: the leaf is a certificate authority.
     #[error("leaf is a certificate authority (X509-SVID 4.1)")]
@@ -69,21 +69,22 @@
     /// authentication.
     #[error("extended key usage of the leaf lacks client or server authentication (X509-SVID 4.4)")]
     ExtendedKeyUsage,
-    /// 3.2, 4.2: an intermediate certificate is not an authority, may not sign certificates, or has
-    /// several URIs or one that is not the id of the leaf's trust domain.
+    /// 3.2, 4.2: an intermediate certificate is not an authority, may not sign certificates, has
+    /// several URIs, or has a URI that is not the id of the leaf's trust domain.
     #[error("an intermediate is not an authority of the leaf's trust domain (X509-SVID 3.2, 4)")]
     Authority,
-    /// 5: no bundle is in force for the trust domain of the id; carries its name.
+    /// 5: no bundle is in force for the trust domain of the id; carries the name of the trust
+    /// domain.
     #[error("trust domain {0} is not known")]
     UnknownDomain(String),
     /// The leaf expired longer ago than the clock skew.
     #[error("expired")]
     Expired,
     /// The validity of the leaf starts later than the clock skew allows.
-    #[error("not valid yet")]
+    #[error("leaf is not valid yet")]
     NotYet,
     /// 5.2: no path of valid signatures leads to an authority of the id's trust domain; carries the
-    /// reason.
+    /// reason why no path was found.
     #[error("no path to an authority of the trust domain: {0}")]
     NoPathToAuthority(String),
 }
@@ -222,7 +223,7 @@
 ///
 /// # Errors
 ///
-/// Returns the first check that fails.
+/// Returns the error of the first check that fails.
 pub fn check(
     chain: &[impl AsRef<[u8]>],
     bundles: &Bundles,
--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -153,8 +153,8 @@
         } else if known.liveness_state > liveness_state {
             differences.headers.push(*key);
         }
-        // If only their liveness state is newer, nothing is exchanged: the caller has merged the
-        // header already.
+        // If only the other node's liveness state is newer, nothing is exchanged: the caller has
+        // merged the header already.
     }
     for range in covered.iter().filter(|range| range.from <= range.to) {
         let present = member_table
--- a/crates/membership/src/cluster_size.rs
+++ b/crates/membership/src/cluster_size.rs
@@ -15,7 +15,7 @@
 const LOST_FRACTION_DIVISOR: usize = 4;
 /// Lowest local health score at which a node is unsure.
 const UNSURE_HEALTH_SCORE: u32 = 4;
-/// Time without a cause for doubt after which a node is sure again.
+/// Time without a reason to be unsure after which a node is sure again.
 const CALM_TIME: Nanos = 5 * SECOND;
 /// Longest time that a node stays unsure because of lost or suspected members. After this time the
 /// members that it still sees are taken to be the cluster.
@@ -23,27 +23,27 @@
 /// The estimate falls by at most one part in this many per second.
 const DECAY_DIVISOR: usize = 8;
 
-/// Estimate of a number of members.
+/// Estimate of the number of members of the cluster or of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SizeEstimate {
     /// Estimate on which decisions are based. It rises at once and falls slowly.
     pub size: usize,
     /// Number of members that are alive and not suspected.
     pub low: usize,
-    /// Number of members that may be present: alive, suspected or recently declared dead. At least
-    /// `size`.
+    /// Number of members that may be present: members that are alive, suspected or were recently
+    /// declared dead. Never less than `size`.
     pub high: usize,
 }
 
 /// View of the cluster on which decisions are based.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClusterView {
-    /// Estimate for the whole cluster.
+    /// Estimated number of members of the whole cluster.
     pub cluster: SizeEstimate,
-    /// Estimate for the node's own zone.
+    /// Estimated number of members of the node's own zone.
     pub zone: SizeEstimate,
-    /// Time since which the node cannot tell whether other members are gone or it is partitioned
-    /// itself; `None` while it is sure.
+    /// Time since which the node cannot tell whether other members are gone or the node itself is
+    /// partitioned; `None` while it is sure.
     pub unsure_since: Option<Nanos>,
     /// Digest of the member table; equal on nodes whose tables agree.
     pub digest: u64,
@@ -61,7 +61,7 @@
     value: usize,
     last_step: Nanos,
     /// Value when the node was last sure. While the node is unsure, the value does not fall below
-    /// half of this.
+    /// half of `value_when_sure`.
     value_when_sure: usize,
 }
 
@@ -94,7 +94,7 @@
     cluster: SlowDecay,
     zone: SlowDecay,
     unsure_since: Option<Nanos>,
-    /// Time of the last cause for doubt.
+    /// Time at which the node last had a reason to be unsure.
     last_cause: Nanos,
 }
 
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -23,14 +23,14 @@
     pub probe_timeout: Nanos,
     /// Time between two gossip rounds.
     pub gossip: Nanos,
-    /// Factor of the shortest suspicion timeout, which is this many probe periods times the decimal
-    /// logarithm of the cluster size (at least 1).
+    /// Factor of the shortest suspicion timeout. That timeout is this many probe periods times the
+    /// decimal logarithm of the cluster size (at least 1).
     pub suspicion: f64,
     /// Longest suspicion timeout, as a multiple of the shortest.
     pub suspicion_max_factor: f64,
     /// Time between two attempts to reach members that were declared dead.
     pub probe_dead: Nanos,
-    /// Time for which members that died or left are remembered.
+    /// Time for which members that died or left stay in the member table.
     pub forget_after: Nanos,
     /// Largest clock difference at which the first datagram of an unknown process is accepted.
     pub skew: Nanos,
@@ -98,11 +98,11 @@
     pub timing: Timing,
     /// Version of the program, shown to operators.
     pub program: String,
-    /// Number and hash of the settings in force.
+    /// Version number and hash of the settings in force.
     pub settings: (u64, u64),
     /// Memory limit of the member table, in bytes.
     pub bytes: usize,
-    /// Mechanisms that are switched on.
+    /// Mechanisms of the protocol that are switched on.
     pub features: FeatureToggles,
 }
 
--- a/crates/membership/src/datagram_auth.rs
+++ b/crates/membership/src/datagram_auth.rs
@@ -36,7 +36,7 @@
 pub enum DropReason {
     /// The datagram is too short, too long or lacks the magic bytes.
     NotAFrame,
-    /// The frame version is not the supported one.
+    /// The frame version is not supported.
     OtherFrameVersion,
     /// The frame has the tag of another cluster.
     OtherCluster,
@@ -106,7 +106,7 @@
     /// Creates the keys from their bytes, the signing key first.
     ///
     /// # Errors
-    /// If there is no key, there are more than [`KEYS_MAX`], or one is too short.
+    /// If there is no key, there are more than [`KEYS_MAX`], or a key is too short.
     pub fn new(keys: &[Vec<u8>]) -> Result<AuthKeys, KeyError> {
         if keys.is_empty() || keys.len() > KEYS_MAX {
             return Err(KeyError::Count(keys.len()));
@@ -227,8 +227,8 @@
 
 impl DatagramAuth {
     /// Creates the state for one process of a cluster. It keeps the replay windows of at most
-    /// `windows_max` incarnations and accepts an unknown one only within the clock difference
-    /// `skew`.
+    /// `windows_max` incarnations and accepts an unknown incarnation only if its clock differs from
+    /// the local one by at most `skew`.
     pub fn new(
         cluster: &str,
         keys: AuthKeys,
@@ -365,8 +365,8 @@
     }
 }
 
-/// Returns the incarnation of an observer. Its highest bit is set, which no member's incarnation
-/// has.
+/// Returns the incarnation of an observer. The highest bit is set, which distinguishes observers
+/// from members.
 pub fn observer_incarnation(seed: u64) -> Incarnation {
     Incarnation(seed | 1 << 63)
 }
--- a/crates/membership/src/dissemination_queue.rs
+++ b/crates/membership/src/dissemination_queue.rs
@@ -11,7 +11,8 @@
 /// Members about which updates are to be sent.
 #[derive(Debug, Default)]
 pub struct DisseminationQueue {
-    /// Number of transmissions so far, sequence number (the latest first), member.
+    /// For each queued member: number of transmissions so far, sequence number (the latest first),
+    /// and key.
     queue: BTreeSet<(u32, std::cmp::Reverse<u64>, MemberKey)>,
     /// Number of transmissions so far and sequence number of each queued member.
     positions: HashMap<MemberKey, (u32, u64)>,
@@ -26,8 +27,8 @@
 }
 
 impl DisseminationQueue {
-    /// Queues the latest update about a member, in place of an older one. It counts as not yet
-    /// sent.
+    /// Queues the latest update about a member, in place of an older one. The update counts as not
+    /// yet sent.
     pub fn push(&mut self, key: MemberKey) {
         self.remove_updates(key);
         self.last_sequence += 1;
--- a/crates/membership/src/history.rs
+++ b/crates/membership/src/history.rs
@@ -35,7 +35,7 @@
     Unsure,
     /// This node is no longer unsure whether it is partitioned.
     Sure,
-    /// Other members suspected this node or declared it dead, and it refuted that.
+    /// Other members suspected this node or declared it dead, and this node refuted that.
     Refuted,
     /// This process was paused for some time.
     StoodStill,
@@ -78,11 +78,11 @@
 pub struct ChangeEvent {
     /// Time of the change, in Unix milliseconds.
     pub unix_ms: u64,
-    /// Kind of the change.
+    /// What changed, for example that a member joined.
     pub kind: ChangeKind,
     /// Name of the member concerned; `?` if the member is not in the table.
     pub name: Arc<str>,
-    /// Further details for operators; may be empty.
+    /// Further details for operators, such as an address or a zone; may be empty.
     pub more: String,
 }
 
@@ -97,18 +97,20 @@
     }
 }
 
-/// The latest changes, and a count of those that were not logged.
+/// The latest changes, and the number of changes that were not logged.
 #[derive(Debug, Default)]
 pub struct History {
     changes: VecDeque<ChangeEvent>,
     current_second: Nanos,
     lines_in_second: usize,
-    /// Number of changes that were not logged and the first member concerned, by kind.
+    /// For each kind: number of changes that were not logged, and name of the first member
+    /// concerned.
     suppressed: BTreeMap<ChangeKind, (usize, Arc<str>)>,
 }
 
 impl History {
-    /// Records a change. Returns its log line, or `None` if this second has had all of its lines.
+    /// Records a change. Returns its log line, or `None` if the limit of lines in this second is
+    /// reached.
     pub fn push(&mut self, now: Nanos, change: ChangeEvent) -> Option<String> {
         if now / SECOND != self.current_second {
             (self.current_second, self.lines_in_second) = (now / SECOND, 0);
--- a/crates/membership/src/host.rs
+++ b/crates/membership/src/host.rs
@@ -24,8 +24,8 @@
     ) {
     }
     /// Returns the page of another package's status that begins at a cursor, and the cursor of the
-    /// next page (0 after the last one). `None` if there is no page, or not yet: the observer
-    /// repeats its request.
+    /// next page (0 after the last one). Returns `None` if the page does not exist or is not
+    /// available yet; the observer then repeats its request.
     fn status_page(&mut self, _topic: u32, _cursor: u64) -> Option<(Vec<u8>, u64)> {
         None
     }
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,7 +1,7 @@
 //! Lifeguard's local health score. A node that is slow or partitioned itself would suspect all
 //! other members, so each sign of a local fault stretches the node's timeouts and periods.
 
-/// Highest score. Timeouts are multiplied by at most one more than this.
+/// Highest local health score. Timeouts are multiplied by at most `SCORE_MAX` + 1.
 const SCORE_MAX: u32 = 8;
 
 /// Local health score, from 0 (healthy) to [`SCORE_MAX`].
@@ -11,12 +11,12 @@
 }
 
 impl LocalHealth {
-    /// Returns the factor by which timeouts are multiplied.
+    /// Returns the factor by which timeouts are multiplied; 1 if the node is healthy.
     pub fn health_factor(self) -> u64 {
         u64::from(self.score) + 1
     }
 
-    /// Returns the score.
+    /// Returns the local health score; 0 is healthy.
     pub fn score(self) -> u32 {
         self.score
     }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -40,7 +40,7 @@
 pub struct MemberKey(pub u64);
 
 impl MemberKey {
-    /// Returns the key of a name. It is never 0, which is [`MemberKey::NONE`].
+    /// Returns the key of a name. The key is never 0, which is [`MemberKey::NONE`].
     pub fn of(name: &str) -> MemberKey {
         MemberKey(hash(&[name.as_bytes()]).max(1))
     }
@@ -57,10 +57,10 @@
 /// takes precedence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Epoch {
-    /// Start time by the member's own clock, in Unix milliseconds. If the member has received a
-    /// later start time for its name, one more than that.
+    /// Start time by the member's own clock, in Unix milliseconds. A member that has received a
+    /// later start time for its name uses that time plus 1 ms instead.
     pub started_unix_ms: u64,
-    /// Number of the incarnation; decides between equal start times.
+    /// Random number of the incarnation; the higher number wins between equal start times.
     pub incarnation: Incarnation,
 }
 
@@ -151,7 +151,7 @@
 /// Data that another package attaches to a member's entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attachment {
-    /// Number of the package that publishes the data.
+    /// Identifier of the package that publishes the data.
     pub id: u32,
     /// Version of the data's format.
     pub version: u32,
@@ -167,13 +167,13 @@
     pub address: SocketAddr,
     /// Zone of the member; may be empty.
     pub zone: Arc<str>,
-    /// Phase of the member.
+    /// Phase that the member announces.
     pub phase: Phase,
     /// Version of the member's program.
     pub program: Arc<str>,
     /// Lowest and highest message version that the member reads.
     pub wire: (u32, u32),
-    /// Number and hash of the settings that the member has in force.
+    /// Version number and hash of the settings that the member has in force.
     pub settings: (u64, u64),
     /// Attachments of other packages, sorted by id.
     pub attachments: Vec<Attachment>,
@@ -327,7 +327,7 @@
 /// Free capacity and load of a member, disseminated without a guarantee of delivery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadHint {
-    /// Sequence number within an incarnation; wraps around.
+    /// Sequence number of the load hint within an incarnation; wraps around.
     pub number: u16,
     /// Free capacity, from 0 to 255.
     pub capacity: u8,
@@ -346,11 +346,11 @@
     pub liveness_state: LivenessState,
     /// Revision of the details within the incarnation.
     pub revision: u32,
-    /// Details that the member publishes.
+    /// Address, zone, phase and the other details that the member publishes.
     pub details: Arc<MemberDetails>,
     /// Latest load hint received.
     pub load_hint: LoadHint,
-    /// Time when the latest load hint was received; 0 if none was.
+    /// Time when the latest load hint was received; 0 if no load hint was received.
     pub load_hint_received: crate::Nanos,
     /// Time when the liveness last changed in this table.
     pub since: crate::Nanos,
@@ -360,7 +360,7 @@
 }
 
 impl MemberEntry {
-    /// Returns the liveness of the member.
+    /// Returns the liveness of the member within its latest known incarnation.
     pub fn liveness(&self) -> Liveness {
         self.liveness_state.liveness
     }
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -131,7 +131,7 @@
         self.zones.iter()
     }
 
-    /// Returns the entry of a member.
+    /// Returns the entry of a member; `None` if the member is not in the table.
     pub fn get(&self, key: MemberKey) -> Option<&MemberEntry> {
         self.entries.get(&key)
     }
@@ -175,7 +175,7 @@
         self.bytes
     }
 
-    /// Adds an entry to the counts, the memory use and the digests, or removes it from them.
+    /// Adds an entry to the counts, memory use and digests, or removes it if `is_added` is false.
     fn account(&mut self, key: MemberKey, entry: &MemberEntry, is_added: bool) {
         let size = ENTRY_BYTES + entry.name.len() + entry.details.bytes();
         let zone = self
@@ -259,7 +259,6 @@
         }
     }
 
-    /// Merges an update of the known incarnation.
     fn merge_same_incarnation(
         &mut self,
         now: Nanos,
@@ -355,7 +354,6 @@
         MergeOutcome::Changed(change)
     }
 
-    /// Inserts the entry of an unknown member.
     fn insert(
         &mut self,
         now: Nanos,
@@ -455,9 +453,9 @@
         gone.len()
     }
 
-    /// Forgets one member that is gone, to free memory; returns false if there is none. Members
-    /// that left go first, then the member that has been dead longest in the zone with the most
-    /// dead members, so that some members of each lost zone are remembered.
+    /// Forgets one member that is dead or has left, to free memory; returns false if there is no
+    /// such member. Members that left go first, then the member that has been dead longest in the
+    /// zone with the most dead members, so that some members of each lost zone are remembered.
     fn forget_one(&mut self) -> bool {
         let gone = self
             .iter()
@@ -481,7 +479,6 @@
         true
     }
 
-    /// Forgets all members except the given one.
     pub(crate) fn forget_all_but(&mut self, kept: MemberKey) {
         let others: Vec<MemberKey> = self
             .entries
--- a/crates/membership/src/member_table/change.rs
+++ b/crates/membership/src/member_table/change.rs
@@ -10,13 +10,13 @@
     pub before: Option<Liveness>,
     /// Liveness after the change.
     pub after: Liveness,
-    /// Whether a later incarnation took over the name.
+    /// True if a later incarnation took over the member's name.
     pub replaced: bool,
-    /// Whether the address changed.
+    /// True if the member published a different address.
     pub moved: bool,
     /// Previous phase, if the phase changed.
     pub phase: Option<Phase>,
-    /// Whether the table's digest changed.
+    /// True if the change altered the digest of the member table.
     pub digest: bool,
 }
 
--- a/crates/membership/src/messages.rs
+++ b/crates/membership/src/messages.rs
@@ -14,8 +14,8 @@
 pub const PAYLOAD_MAX: usize = 1200;
 
 /// Whether this build sends a later version of the messages, for tests of clusters of mixed
-/// versions: each message has one more field, some lack a field, and there are messages of an
-/// unknown kind.
+/// versions: each message has one more field, some messages lack a field, and there are messages of
+/// an unknown kind.
 pub const LATER: bool = cfg!(feature = "later");
 /// Encoded field that the present version does not know: tag 250, a string.
 const LATER_FIELD: [u8; 8] = [0xd2, 0x0f, 5, b'l', b'a', b't', b'e', b'r'];
@@ -41,7 +41,8 @@
     pub const ACK: u32 = 2;
     /// Request to probe a member on the sender's behalf.
     pub const ASK: u32 = 3;
-    /// Report of a relay that its probe has no reply; it shows that the relay itself responds.
+    /// Report of a relay that the probed member did not reply. The report shows that the relay
+    /// itself responds.
     pub const NACK: u32 = 4;
     /// Updates about members, and nothing else.
     pub const GOSSIP: u32 = 5;
@@ -72,7 +73,7 @@
     /// Zone of the member; may be empty.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Number of the member's phase.
+    /// Numeric code of the member's phase.
     #[prost(uint32, tag = "3")]
     pub phase: u32,
     /// Version of the member's program.
@@ -84,7 +85,7 @@
     /// Highest message version that the member reads.
     #[prost(uint32, tag = "6")]
     pub wire_most: u32,
-    /// Number of the settings that the member has in force.
+    /// Version number of the settings that the member has in force.
     #[prost(uint64, tag = "7")]
     pub settings: u64,
     /// Hash of the settings that the member has in force.
@@ -98,13 +99,13 @@
 /// Data that another package attaches to a member.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AttachmentMessage {
-    /// Number of the package that publishes the data.
+    /// Identifier of the package that publishes the data.
     #[prost(uint32, tag = "1")]
     pub id: u32,
     /// Version of the data's format.
     #[prost(uint32, tag = "2")]
     pub version: u32,
-    /// Attached data.
+    /// Data in the package's own format; empty data removes the attachment.
     #[prost(bytes = "vec", tag = "3")]
     pub bytes: Vec<u8>,
 }
@@ -118,13 +119,13 @@
     /// Start time of the incarnation, in Unix milliseconds.
     #[prost(uint64, tag = "2")]
     pub started_unix_ms: u64,
-    /// Number of the incarnation.
+    /// Random number of the incarnation.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
     /// Refutation number of the member within the incarnation.
     #[prost(uint32, tag = "4")]
     pub refutation: u32,
-    /// Number of the member's liveness.
+    /// Numeric code of the member's liveness.
     #[prost(uint32, tag = "5")]
     pub liveness: u32,
     /// Revision of the details within the incarnation.
@@ -241,7 +242,8 @@
     /// Number of the probe or request, repeated in the reply.
     #[prost(uint32, tag = "3")]
     pub number: u32,
-    /// Key of the member concerned; 0 for the recipient, if the sender does not know its key.
+    /// Key of the member concerned; 0 means the recipient, if the sender does not know the
+    /// recipient's key.
     #[prost(fixed64, tag = "4")]
     pub target: u64,
     /// Digest of the sender's member table.
@@ -265,11 +267,12 @@
     /// Report of the sender about itself.
     #[prost(message, optional, tag = "11")]
     pub report: Option<NodeReport>,
-    /// Cursor of the requested status page, and in a page that of the next one: 0 before the first
-    /// page and after the last one.
+    /// In a request, the cursor of the requested status page; 0 for the first page. In a status
+    /// page, the cursor of the next page; 0 after the last page.
     #[prost(fixed64, tag = "12")]
     pub cursor: u64,
-    /// Number of the package that a payload, command or status page belongs to; 0 for membership.
+    /// Identifier of the package that a payload, command or status page belongs to; 0 for
+    /// membership.
     #[prost(uint32, tag = "13")]
     pub topic: u32,
     /// Content of a payload, command, reply or status page.
--- a/crates/membership/src/observer.rs
+++ b/crates/membership/src/observer.rs
@@ -20,15 +20,15 @@
     pub address: SocketAddr,
     /// Zone of the member; may be empty.
     pub zone: String,
-    /// Phase of the member.
+    /// Phase that the member announces.
     pub phase: Phase,
     /// Version of the member's program.
     pub program: String,
-    /// Number and hash of the settings that the member has in force.
+    /// Version number and hash of the settings that the member has in force.
     pub settings: (u64, u64),
     /// Start time of the incarnation, in Unix milliseconds.
     pub started_unix_ms: u64,
-    /// Number of the incarnation.
+    /// Random number of the incarnation.
     pub incarnation: u64,
     /// Refutation number of the member.
     pub refutation: u32,
@@ -55,7 +55,7 @@
     number: u32,
     cursor: u64,
     snapshot: NodeSnapshot,
-    /// Number of the package whose status is requested; 0 for the member table.
+    /// Identifier of the package whose status is requested; 0 for the member table.
     topic: u32,
     /// Pages of another package's status received so far.
     bytes: Vec<u8>,
--- a/crates/membership/src/receive_limiter.rs
+++ b/crates/membership/src/receive_limiter.rs
@@ -4,7 +4,8 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Rate in datagrams per second, which is also the burst, for proven sources and for all others.
+/// Rate in datagrams per second, and burst in datagrams: first for proven sources, then for all
+/// other sources.
 const RATES: [f64; 2] = [4000.0, 500.0];
 
 /// Limits how many datagrams per second are authenticated. Checking a MAC takes one to two
@@ -14,7 +15,8 @@
 pub struct ReceiveLimiter {
     proven: HashSet<SocketAddr>,
     proven_max: usize,
-    /// Number of datagrams that may still be checked, from proven sources and from all others.
+    /// Number of datagrams that may still be checked, first from proven sources, then from all
+    /// other sources.
     tokens: [f64; 2],
     refilled_at: Nanos,
 }
@@ -30,7 +32,8 @@
         }
     }
 
-    /// Returns whether a datagram from this source may be checked, and counts it if so.
+    /// Returns whether a datagram from this source may be checked, and counts the datagram if it
+    /// may.
     pub fn admits(&mut self, now: Nanos, from: SocketAddr) -> bool {
         let elapsed_seconds = now.saturating_sub(self.refilled_at) as f64 / SECOND as f64;
         self.refilled_at = now;
--- a/crates/membership/src/simulation.rs
+++ b/crates/membership/src/simulation.rs
@@ -27,8 +27,8 @@
 
 /// Unix time at which a simulation starts, in milliseconds.
 const START_UNIX_MS: u64 = 1_800_000_000_000;
-/// Every member reports a false death. Reports about one member count once if no more than this
-/// time lies between them.
+/// Every member that learns of a false death reports it. Reports about one member count once if no
+/// more than this time lies between them.
 const FALSE_DEATH_WINDOW: Nanos = 60 * SECOND;
 
 /// Returns whether the link from the first member to the second is cut.
@@ -40,7 +40,7 @@
 
 /// Simulated cluster.
 pub struct Simulation {
-    /// Configuration of the simulation.
+    /// Configuration with which the simulation was created.
     pub config: SimulationConfig,
     /// Current simulated time.
     pub now: Nanos,
@@ -64,7 +64,7 @@
     last_false_death: HashMap<usize, Nanos>,
     /// Number of events processed so far.
     pub processed: u64,
-    /// Whether the members' log lines are collected.
+    /// True if the members' log lines are collected in [`SimulatedActions::lines`].
     pub collect_lines: bool,
 }
 
--- a/crates/membership/src/simulation/config.rs
+++ b/crates/membership/src/simulation/config.rs
@@ -19,7 +19,7 @@
     pub stall: (Nanos, Nanos),
     /// Periods and timeouts of the protocol.
     pub timing: Timing,
-    /// Mechanisms that are switched on.
+    /// Mechanisms of the protocol that are switched on.
     pub features: FeatureToggles,
     /// Whether all members know each other at the start. Otherwise they join through the first
     /// three members, which are the seeds.
--- a/crates/membership/src/simulation/heartbeats.rs
+++ b/crates/membership/src/simulation/heartbeats.rs
@@ -50,8 +50,8 @@
             }
         }
     }
-    // At the crash each member has already missed some heartbeats of the crashed one, and its
-    // periods begin at a time of its own.
+    // At the crash each member has already missed some heartbeats of the crashed one, and the
+    // periods of each member begin at a different time.
     let seconds_left: Vec<f64> = (1..members)
         .map(|to| f64::from(missed - missed_in_a_row[to].min(missed)) - rng.random_range(0.0..1.0))
         .map(|periods| periods.max(0.0) * period as f64 / SECOND as f64)
--- a/crates/membership/src/simulation/node.rs
+++ b/crates/membership/src/simulation/node.rs
@@ -33,9 +33,9 @@
 
 /// Simulated member.
 pub struct SimulatedNode {
-    /// Name of the member.
+    /// Name under which the member joins the cluster.
     pub name: String,
-    /// Key of the member.
+    /// Key by which member tables refer to the member.
     pub key: MemberKey,
     /// Number of the member's zone.
     pub zone: usize,
@@ -49,7 +49,7 @@
     pub(super) is_stalling: bool,
     /// Time when the member went down; `None` while it is up.
     pub down_since: Option<Nanos>,
-    /// Error of the member's Unix clock, in milliseconds.
+    /// Difference between the member's Unix clock and the simulated Unix time, in milliseconds.
     pub clock_error_ms: i64,
     /// Bytes that the member has sent since the last call of
     /// [`Simulation::take_traffic`](super::Simulation::take_traffic).
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,9 +1,9 @@
-//! Suspicion timeouts as in Lifeguard: long while few members suspect another, and shorter with
-//! each member that confirms the suspicion.
+//! Suspicion timeouts as in Lifeguard: long while few members suspect the same member, and shorter
+//! with each member that confirms the suspicion.
 //!
-//! No member is declared dead without a last call: each node that suspects it probes it again and
-//! informs it of the suspicion. Otherwise a suspicion that arose during a partition could outlast
-//! the partition.
+//! No member is declared dead without a last call: each node that suspects the member probes it
+//! again and informs it of the suspicion. Otherwise a suspicion that arose during a partition could
+//! outlast the partition.
 
 use crate::Nanos;
 use crate::member::MemberKey;
@@ -41,7 +41,8 @@
         self.since + (timeout as Nanos).max(self.timeout_min)
     }
 
-    /// Returns when the next action is due: a transmission of the last call, or the end.
+    /// Returns when the next action is due: a transmission of the last call, or the end of the
+    /// suspicion.
     fn due(&self, lead: Nanos) -> Nanos {
         match self.first_call {
             None => self.timeout_end().saturating_sub(lead),
@@ -69,8 +70,8 @@
 }
 
 impl Suspicions {
-    /// Records that `suspected_by` suspects a member. Returns true if this is new and can shorten
-    /// the timeout, which lies between the given bounds.
+    /// Records that `suspected_by` suspects a member. Returns true if this suspicion is new and can
+    /// shorten the timeout, which lies between the given bounds.
     pub fn suspect(
         &mut self,
         now: Nanos,
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -94,8 +94,8 @@
     comparison_budget: TokenBucket,
     dissemination_budget: TokenBucket,
     name_conflict: Option<NameConflict>,
-    /// Addresses of the members that were known before a long pause, after which the node joins
-    /// anew.
+    /// Addresses of the members that were known before a long pause. After the pause the node joins
+    /// the cluster again through them.
     former_addresses: Vec<SocketAddr>,
     alone_since: Option<Nanos>,
     alone_reported: bool,
@@ -110,7 +110,7 @@
     /// Creates a node that has just started and knows only itself and its seeds.
     ///
     /// # Errors
-    /// If the configured name is not valid, or the node's own details do not fit an entry.
+    /// If the configured name is not valid, or the node's own details are too large for an entry.
     pub fn new(
         config: Config,
         seed: u64,
--- a/crates/membership/src/swim/dissemination.rs
+++ b/crates/membership/src/swim/dissemination.rs
@@ -4,8 +4,8 @@
 
 /// Number of members that receive a datagram in each gossip round.
 pub(super) const GOSSIP_FANOUT: usize = 3;
-/// Approximate number of updates that fit one datagram. If more are queued, member tables are
-/// compared as well.
+/// Approximate number of updates that fit one datagram. If more updates are queued, member tables
+/// are compared as well.
 pub(super) const UPDATES_PER_DATAGRAM: usize = 20;
 /// Time between two contacts to seeds while the node knows no other member.
 const SEED_INTERVAL_ALONE: Nanos = SECOND;
@@ -121,8 +121,9 @@
             .collect()
     }
 
-    /// Contacts seeds: several at a short interval while the node knows no other member, otherwise
-    /// one at a long interval, out of those at whose address no present member is known.
+    /// Contacts seeds. While the node knows no other member, it contacts several seeds at a short
+    /// interval. Otherwise it contacts one seed at a long interval; seeds whose address belongs to
+    /// a known present member are then left out.
     pub(super) fn contact_seeds(&mut self, at: ClockReading) {
         let alone = self.member_table.counts().present() <= 1;
         self.timers.contact_seeds = at.now
--- a/crates/membership/src/swim/name_conflict.rs
+++ b/crates/membership/src/swim/name_conflict.rs
@@ -26,7 +26,8 @@
 }
 
 impl<H: Host> Membership<H> {
-    /// Takes the name over, or back, with a start time later than any received for the name.
+    /// Takes over the name from another process, or reclaims it, with a start time later than any
+    /// received for the name.
     pub(super) fn reclaim_name(&mut self, at: ClockReading, started_unix_ms: u64, why: &str) {
         let was_name_lost = self.has_name_conflict();
         self.name_conflict = None;
--- a/crates/membership/src/swim/observation.rs
+++ b/crates/membership/src/swim/observation.rs
@@ -28,14 +28,14 @@
         &self.counters
     }
 
-    /// Returns whether another process holds this node's name, so that this one publishes nothing.
+    /// Returns whether another process holds this node's name, so that this node publishes nothing.
     pub fn has_name_conflict(&self) -> bool {
         self.name_conflict
             .as_ref()
             .is_some_and(|name_conflict| name_conflict.name_lost)
     }
 
-    /// Adds to an event counter.
+    /// Adds `times` to the event counter named `what`.
     pub(super) fn count(&mut self, what: &'static str, times: u64) {
         *self.counters.entry(what).or_default() += times;
     }
@@ -256,8 +256,8 @@
         report
     }
 
-    /// Merges the entries of other members without dissemination. With this, simulations start with
-    /// a settled cluster.
+    /// Merges the entries of other members without dissemination. Simulations use this to start
+    /// with a settled cluster.
     pub fn preload(&mut self, at: ClockReading, entries: &[MemberUpdate]) {
         for update in entries.iter().filter(|update| update.key != self.own_key.0) {
             if let MergeOutcome::Changed(change) = self.member_table.merge(at.now, update)
--- a/crates/membership/src/swim/probing.rs
+++ b/crates/membership/src/swim/probing.rs
@@ -17,19 +17,19 @@
     pub(super) retry_at: Nanos,
     /// Time at which relays are asked; `None` once they have been asked.
     pub(super) relay_at: Option<Nanos>,
-    /// Time at which the probe has failed.
+    /// Time at which the probe counts as failed.
     pub(super) due: Nanos,
-    /// Number of relays that were asked, and of those that replied.
+    /// Number of relays that were asked to probe; `relays_replied` of them replied.
     pub(super) relays: u32,
     pub(super) relays_replied: u32,
 }
 
-/// Probe of a member on behalf of another one.
+/// Probe of a member on behalf of another member.
 #[derive(Debug)]
 pub(super) struct RelayedProbe {
     /// Member that asked for the probe.
     pub(super) origin: MemberKey,
-    /// Number of that member's own probe.
+    /// Number of the probe that `origin` sent itself; repeated in the reply to `origin`.
     pub(super) origin_number: u32,
     pub(super) target: MemberKey,
     pub(super) incarnation: Incarnation,
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Chooses relays at random, at least one of them in the target's zone if there is one alive:
-    /// the fault may lie in the path to that zone.
+    /// Chooses relays at random, at least one of them in the target's zone if a member is alive
+    /// there: the fault may lie in the path to that zone.
     fn relays(&mut self, target: MemberKey) -> Vec<MemberKey> {
         let (member_table, own_key) = (&self.member_table, self.own_key);
         let is_candidate = |key: MemberKey| {
--- a/crates/membership/src/swim/receiving.rs
+++ b/crates/membership/src/swim/receiving.rs
@@ -146,8 +146,8 @@
     }
 
     /// Compares the sender's digest with the node's own. If many updates are queued although the
-    /// sender already agrees, they need no further dissemination: where they are missing, digests
-    /// will differ. Suspicions are not part of digests and stay queued.
+    /// sender already agrees, the updates need no further dissemination: nodes that lack them will
+    /// see a digest mismatch. Suspicions are not part of digests and stay queued.
     fn compare_digest(&mut self, at: ClockReading, sender: MemberKey, digest: u64) {
         if digest != self.member_table.digest() {
             self.on_digest_mismatch(at, sender);
@@ -207,7 +207,8 @@
             return self.count("probes for another name", 1);
         }
         // A sender that does not know this node's key receives the complete entry, others only the
-        // header. A sender that is recorded as suspect or dead also receives that update.
+        // header. A sender that is recorded as suspect or dead also receives the update that says
+        // so.
         let mut updates: Vec<MemberUpdate> = self
             .own_entry(target == MemberKey::NONE)
             .into_iter()
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Probes a member on behalf of another one.
+    /// Probes a member on behalf of another member.
     fn on_relay_request(&mut self, at: ClockReading, origin: MemberKey, datagram: &Datagram) {
         let target = MemberKey(datagram.target);
         let Some(incarnation) = self
--- a/crates/membership/src/swim/timers.rs
+++ b/crates/membership/src/swim/timers.rs
@@ -76,9 +76,9 @@
             .min(relayed_probes.unwrap_or(next))
     }
 
-    /// Detects that the process was paused. It received nothing during the pause, which is no
-    /// evidence against other members: suspicions are postponed, and only the local health score
-    /// rises.
+    /// Detects that the process was paused. The process received nothing during the pause, so the
+    /// missing replies are no evidence against other members: suspicions are postponed, and only
+    /// the local health score rises.
     pub(super) fn detect_pause(&mut self, at: ClockReading) {
         let pause = at.now.saturating_sub(self.requested_wake);
         // Timers that became due during this pause do not count as another pause.
@@ -104,8 +104,8 @@
     }
 
     /// Forgets all other members and joins again through their former addresses. Other nodes may
-    /// have forgotten members that died during the pause; entries from this table would make these
-    /// appear alive again.
+    /// have forgotten members that died during the pause; entries from this node's table would make
+    /// those members appear alive again.
     fn forget_and_rejoin(&mut self, at: ClockReading) {
         let present = self
             .member_table
--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -8,7 +8,8 @@
 
 /// Length of a batch's header, in bytes.
 pub(crate) const HEADER_LEN: usize = 12;
-/// Longest body that is accepted, in bytes. A header that announces more is taken for garbage.
+/// Longest body that is accepted, in bytes. A header that announces a longer body is rejected as
+/// malformed.
 const MAX_BODY_LEN: usize = 256 << 20;
 
 /// Reads the body of one batch into `body` and returns the clock of the batch, or `None` at the end
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -20,7 +20,7 @@
 pub(crate) struct Malformed {
     /// Name of the record on the wire, or its code if the code is unknown.
     pub(crate) record: String,
-    /// Name of the field on the wire.
+    /// Name of the malformed field on the wire.
     pub(crate) field: &'static str,
     /// Offset from the start of the batch, in bytes, header included.
     pub(crate) offset: usize,
@@ -42,9 +42,9 @@
     /// The input ends within a batch.
     #[error("input ended after {got} of {expected} bytes")]
     InputEnded {
-        /// Bytes that were read.
+        /// Number of bytes of the batch's header or body that were read.
         got: usize,
-        /// Bytes that were expected.
+        /// Number of bytes that the batch's header or body should have.
         expected: usize,
     },
     /// A batch header announces a body that is too long.
@@ -55,28 +55,28 @@
         /// Longest body that is accepted, in bytes.
         max: usize,
     },
-    /// Reading the input failed.
-    #[error("{0}")]
+    /// Reading the input failed; carries the message of the I/O error.
+    #[error("failed to read the input: {0}")]
     Unreadable(String),
     /// A number is infinite or NaN.
     #[error("not a finite number")]
     NotFinite,
-    /// A time, in seconds, is negative.
+    /// A time is negative; carries the time in seconds.
     #[error("negative time {0} s")]
     NegativeTime(f64),
     /// The code of a record is unknown.
     #[error("unknown record")]
     UnknownRecord,
-    /// The code of an outcome is unknown.
+    /// The code of an outcome is unknown; carries the code.
     #[error("unknown outcome code {0}")]
     UnknownOutcome(u8),
-    /// A request names an operation index that the settings do not define.
+    /// A request names an operation that the settings do not define; carries the operation's index.
     #[error("no operation {0} in the settings")]
     NoOperation(usize),
-    /// An event for a node that was not started.
+    /// An event refers to a node that was not started; carries the number of the node.
     #[error("no instance {0}")]
     NoInstance(u16),
     /// The settings of a node were rejected.
-    #[error("{0}")]
+    #[error("invalid settings: {0}")]
     Settings(#[from] DeploymentError),
 }
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -7,7 +7,7 @@
 /// Reader of the fields of one record, or of the records of one batch body.
 pub(crate) struct Fields<'a> {
     bytes: &'a [u8],
-    /// Bytes read so far.
+    /// Number of bytes that have been read.
     read: usize,
     /// Offset of `bytes` from the start of the batch.
     base: usize,
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -40,7 +40,7 @@
 
 /// [`Host`] of one node, which adds its actions to the reply.
 pub(crate) struct WireHost {
-    /// Number of the node on the wire.
+    /// Number that identifies the node on the wire.
     pub(crate) instance: u16,
     pub(crate) reply: Rc<RefCell<Reply>>,
 }
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -3,7 +3,7 @@
 //!
 //! Arrivals are admitted by Dynamic Beta RED (`beta_red`): each arrival moves the averaged queue
 //! length and is rejected with the probability that the refusal curve gives for that average. Each
-//! update walks the virtual target and the concurrency limit. Queued requests start in the order of
+//! update moves the virtual target and the concurrency limit. Queued requests start in the order of
 //! their value density (`queue`), within the concurrency limit, the runnable limit
 //! (`concurrency_limit`) and memory (`memory`). Every request is answered before its deadline
 //! (`deadlines`), backend calls stay within the node's part of the downstream limit
@@ -386,8 +386,8 @@
 
     // ---- Backend calls ----
 
-    /// Makes the backend calls that executions wait for, as far as there is capacity. Calls with a
-    /// failed attempt are retried only `at_update`.
+    /// Makes the backend calls that executions wait for, while the downstream has capacity. Calls
+    /// with a failed attempt are retried only if `at_update` is true.
     fn make_pending_calls(&mut self, now: Nanos, at_update: bool) {
         if !self.calls.any_pending() {
             return;
--- a/src/admission/answers.rs
+++ b/src/admission/answers.rs
@@ -6,8 +6,8 @@
 use crate::{Host, Idempotency, Nanos, Preemption};
 
 impl<H: Host> AdmissionController<H> {
-    /// Answers a request that never ran. The request is rejected, or failed if it was coalesced,
-    /// since the request that it repeats may have run.
+    /// Rejects a request that never ran. A coalesced request is failed instead, since the request
+    /// that it repeats may have run.
     pub(super) fn reject(&mut self, now: Nanos, slot: usize) {
         self.window.value_rejected += self.value_density(slot);
         let request = &self.requests[slot];
--- a/src/admission/backend_calls.rs
+++ b/src/admission/backend_calls.rs
@@ -3,7 +3,7 @@
 //!
 //! A shared service can sustain a certain mean number of calls in flight. This node's part of that
 //! number is `downstream_call_limit`, as a mean over `downstream_call_window`. The number of calls
-//! in flight stays within the limit, or within 1 if the limit is lower. The time that calls used,
+//! in flight stays within the limit, or within 1 if the limit is below 1. The time that calls used,
 //! including the lingering of abandoned ones, is booked as a debt. The debt is paid back
 //! continuously at a rate of half the limit, and up to half of limit times window can be used at
 //! once. The mean over any window thus stays within the limit, however small the limit is.
@@ -16,8 +16,8 @@
 
 /// Maximum number of attempts of one backend call.
 const MAX_ATTEMPTS: u8 = 3;
-/// Multiple of its usual time that a call may take, beyond the lingering time, before it is
-/// abandoned.
+/// A call that can be skipped or retried is abandoned after the lingering time plus this multiple
+/// of the usual call time.
 const CALL_TIME_FACTOR: f64 = 16.0;
 
 /// Decision on an execution that needs a backend call.
@@ -50,7 +50,7 @@
     pub(super) in_flight: usize,
     /// Time at which the debt of past calls will be paid back.
     debt_cleared_at: Nanos,
-    /// Moving average of the share of calls that failed, 0 to 1.
+    /// Moving average of the fraction of backend calls that failed, 0 to 1.
     pub(super) failure_share: f64,
 }
 
@@ -69,8 +69,9 @@
         self.waiting > self.in_flight
     }
 
-    /// Decides whether a request's call is made now. Without capacity, a skippable call is skipped
-    /// if it `has_waited` until an update or if more calls than there are cores wait.
+    /// Decides whether a request's call is made now. Without downstream capacity, a skippable call
+    /// is skipped if `has_waited` is true (the call has waited until an update) or if more calls
+    /// than there are cores wait.
     pub(super) fn decide(
         &self,
         now: Nanos,
@@ -166,7 +167,7 @@
         is_exhausted || random.random::<f64>() < self.failure_share
     }
 
-    /// Updates the share of failed calls with the outcome of a call.
+    /// Updates the moving average of the fraction of failed calls with the outcome of a call.
     pub(super) fn observe_outcome(&mut self, failed: bool) {
         self.failure_share +=
             LEARNING_RATE / 2.0 * (f64::from(u8::from(failed)) - self.failure_share);
--- a/src/admission/beta_red.rs
+++ b/src/admission/beta_red.rs
@@ -1,7 +1,7 @@
 //! Dynamic Beta RED: the random rejection that keeps the queue short. Equations and Algorithm 3 are
 //! those of section 5.2 of "New RED-type TCP-AQM algorithms based on Beta distribution drop
 //! functions", with q_min = 0, q_max = B, p_max = 1 and Alpha = Beta = 1; `docs/design.md` lists
-//! where this departs from it.
+//! the differences from the paper.
 //!
 //! Each arrival moves the averaged queue length and is rejected with the probability that the
 //! refusal curve gives for that average. Each update moves the virtual target, which is the mean of
@@ -17,13 +17,14 @@
 /// w: weight of an arrival in q_avg. A high weight lets old arrivals fade soon on a node with few
 /// arrivals.
 pub(super) const AVERAGING_WEIGHT: f64 = 0.3;
-/// T_target as a share of the shortest latency objective.
+/// T_target as a fraction of the shortest latency objective of all operations.
 const TARGET_DELAY_FRACTION: f64 = 0.25;
 /// B as a multiple of q_target.
 const QUEUE_BOUND_FACTOR: f64 = 4.0;
 /// Number of updates in one span of the capacity measurement (2.5 s).
 const UPDATES_PER_SPAN: usize = 5;
-/// Number of spans that are kept (one minute). The span with the most completions gives C.
+/// Number of spans whose completions are kept (one minute). The span with the most completions
+/// gives C.
 const CAPACITY_SPANS: usize = 24;
 
 /// State of the random rejection. Queue lengths are in requests.
--- a/src/admission/concurrency_limit.rs
+++ b/src/admission/concurrency_limit.rs
@@ -1,15 +1,15 @@
-//! Limits of what may run at once: the concurrency limit, which follows the load of the cores, and
-//! the runnable limit, which protects the cores from too many runnable executions.
+//! Limits on the executions that run at once: the concurrency limit, which follows the load of the
+//! cores, and the runnable limit, which protects the cores from too many runnable executions.
 
 use crate::{Deployment, Gauges, Nanos};
 
-/// Share of the cores' time in use from which on the cores have no spare time.
+/// The cores have no spare time if at least this fraction of their time is in use.
 const BUSY_THRESHOLD: f64 = 0.9;
 /// Executions count as slow if their mean run ratio is above this. The run ratio is the run time as
 /// a multiple of that of short executions of the same operation.
 const SLOW_RUN_RATIO: f64 = 3.0;
-/// Fraction of the sustainable number of runnable executions that is used. The rest is a safety
-/// margin.
+/// Fraction of the sustainable number of runnable executions that the runnable limit allows. The
+/// rest is a safety margin.
 const USABLE_FRACTION: f64 = 0.85;
 
 /// Limit of the executions that run at once. Executions that wait for a backend call use no core
@@ -22,7 +22,7 @@
     pub(super) completed: f64,
     /// Sum of the run ratios of the executions in `completed`.
     pub(super) run_ratio_sum: f64,
-    /// Share of the cores' time in use at the last update, 0 to 1.
+    /// Fraction of the cores' time that was in use at the last update, 0 to 1.
     pub(super) busy_share: f64,
 }
 
@@ -44,7 +44,8 @@
         self.busy_share < BUSY_THRESHOLD
     }
 
-    /// Counts an execution that succeeded and took `run_ratio` times as long as a short one.
+    /// Counts an execution that succeeded and took `run_ratio` times as long as a short execution
+    /// of the same operation.
     pub(super) fn observe_run(&mut self, run_ratio: f64) {
         self.completed += 1.0;
         self.run_ratio_sum += run_ratio;
--- a/src/admission/deadlines.rs
+++ b/src/admission/deadlines.rs
@@ -7,14 +7,14 @@
 /// for the delay of read intervals and late timers.
 pub(super) const ANSWER_MARGIN: Nanos = 30_000_000;
 
-/// Times of one request.
+/// Times at which a request arrived, loses weight and must be answered.
 #[derive(Clone, Copy)]
 pub(super) struct RequestTimes {
     /// Time at which the request reached the machine.
     pub(super) arrived_at: Nanos,
     /// End of the latency objective. Until then an answer earns its whole weight.
     pub(super) objective_at: Nanos,
-    /// Latest time at which the request is answered.
+    /// Time by which the request must be answered.
     pub(super) answer_by: Nanos,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Records that the timer has fired.
+    /// Records that the timer has fired, so that no timer is set.
     pub(super) fn fired(&mut self) {
         self.fires_at = Nanos::MAX;
     }
--- a/src/admission/load_report.rs
+++ b/src/admission/load_report.rs
@@ -5,11 +5,12 @@
 use super::measure::{LEARNING_RATE, seconds};
 use crate::{Deployment, LoadReport, Nanos};
 
-/// Target share of the value read that is rejected: the shedding level moves until rejections reach
-/// this share. While the shedding level is above the same figure, rejected clients are asked to
-/// stop trying, if other nodes are likely to be overloaded too.
+/// Target for the rejected fraction of the value of all requests read: the shedding level moves
+/// until rejections reach this fraction. Rejected clients are asked to stop trying if the shedding
+/// level is above the same figure and other nodes are likely to be overloaded too.
 pub(super) const REJECTED_TARGET: f64 = 0.03;
-/// Share of the difference from [`REJECTED_TARGET`] by which an update moves the shedding level.
+/// An update moves the shedding level by this fraction of the difference between the rejected
+/// fraction and [`REJECTED_TARGET`].
 pub(super) const LEVEL_GAIN: f64 = 0.15;
 /// Highest shedding level. Some traffic must arrive for the level to fall again.
 const MAX_LEVEL: f64 = 0.95;
@@ -20,7 +21,7 @@
 /// gap between the two figures prevents flapping.
 const KEEP_ABOVE_RETURNS: f64 = 1.4;
 
-/// Totals since the last update.
+/// Totals of the requests since the last update.
 #[derive(Default)]
 pub(super) struct UpdateWindow {
     /// Sum of the value densities of the requests that were read.
@@ -46,13 +47,14 @@
         }
     }
 
-    /// Returns whether the shedding level is above the target share of rejections.
+    /// Returns whether the shedding level is above [`REJECTED_TARGET`].
     pub(super) fn is_shedding(&self) -> bool {
         self.shedding_level > REJECTED_TARGET
     }
 
     /// Moves the shedding level: down while the cores have spare time, otherwise by the difference
-    /// of the rejected share from its target. The load report thus follows the rejections.
+    /// between the rejected fraction of the value read and [`REJECTED_TARGET`]. The load report
+    /// thus follows the rejections.
     pub(super) fn update_level(&mut self, has_spare_cpu: bool, window: &UpdateWindow) {
         if has_spare_cpu {
             self.shedding_level *= 1.0 - LEARNING_RATE;
--- a/src/admission/memory.rs
+++ b/src/admission/memory.rs
@@ -6,12 +6,13 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Part of the memory that is used. The rest is left for requests that are read between two
-/// readings of the gauge.
+/// Fraction of the configured memory that requests and idempotency keys may fill. The rest is left
+/// for requests that are read between two readings of the gauge.
 const USABLE_FRACTION: f64 = 0.85;
 /// Initial ratio of memory in use to counted memory, until the gauge has been read.
 const INITIAL_GAUGE_FACTOR: f64 = 2.0;
-/// The gauge is compared with the count only while the count is over this part of the memory.
+/// The gauge is compared with the counted memory only while the counted memory exceeds this
+/// fraction of the configured memory.
 const MIN_COMPARED_FRACTION: f64 = 0.02;
 
 /// Estimate of the memory in use, in kilobytes.
@@ -64,7 +65,8 @@
         self.counted_kb -= self.extra_running_kb(queued_kb);
     }
 
-    /// Returns the extra memory that a request uses while it runs, compared to while it is queued.
+    /// Returns the memory, in kilobytes, that a request uses while it runs beyond what it uses
+    /// while queued.
     pub(super) fn extra_running_kb(&self, queued_kb: f64) -> f64 {
         queued_kb * (self.run_memory_factor - 1.0)
     }
@@ -74,7 +76,7 @@
         self.key_expiries.push(Reverse(expires_at));
     }
 
-    /// Returns the memory that one idempotency key uses.
+    /// Returns the memory that one idempotency key uses, in kilobytes.
     pub(super) fn key_kb(&self) -> f64 {
         self.idempotency_key_kb
     }
@@ -83,14 +85,15 @@
         self.key_expiries.len() as f64 * self.idempotency_key_kb
     }
 
-    /// Returns whether `extra_kb` more fits into the usable memory.
+    /// Returns whether another `extra_kb` kilobytes fit into the usable memory.
     pub(super) fn fits(&self, extra_kb: f64) -> bool {
         (self.counted_kb + extra_kb) * self.gauge_factor + self.all_keys_kb()
             < self.memory_kb * USABLE_FRACTION
     }
 
-    /// Returns whether `extra_kb` more fits into memory by the count alone, without correction by
-    /// the gauge. A node that runs nothing starts a request under this weaker condition.
+    /// Returns whether another `extra_kb` kilobytes fit into memory by the counted memory alone,
+    /// without correction by the gauge. A node that runs nothing starts a request under this weaker
+    /// condition.
     pub(super) fn fits_by_count(&self, extra_kb: f64) -> bool {
         self.counted_kb + extra_kb + self.all_keys_kb() < self.memory_kb
     }
@@ -104,7 +107,8 @@
         free_kb / self.typical_request_kb.max(f64::MIN_POSITIVE)
     }
 
-    /// Removes expired keys and updates the gauge factor: it rises at once and falls slowly.
+    /// Removes expired idempotency keys and updates the gauge factor, which rises at once and falls
+    /// slowly.
     pub(super) fn update(&mut self, now: Nanos, gauges: &Gauges) {
         while self.key_expiries.peek().is_some_and(|key| key.0 < now) {
             self.key_expiries.pop();
--- a/src/admission/mode.rs
+++ b/src/admission/mode.rs
@@ -1,6 +1,6 @@
 //! The mode of a node, for the log and the operators. No decision depends on the mode.
 
-/// Mode of a node.
+/// Summary of how a node handles arrivals, which is logged at each change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Mode {
     /// No requests are rejected.
--- a/src/admission/queue.rs
+++ b/src/admission/queue.rs
@@ -9,7 +9,7 @@
 /// Lower bound of the expected run time in the value density, in seconds.
 const MIN_RUN_TIME_S: f64 = 1e-3;
 
-/// Inputs of the valuation of requests.
+/// Settings and measurements from which the value of requests is computed.
 pub(super) struct Valuation<'a> {
     pub(super) deployment: &'a Deployment,
     pub(super) operations: &'a [OperationProfile],
@@ -98,7 +98,7 @@
         self.slots.is_empty()
     }
 
-    /// Returns the slot at an index; index 0 is the oldest arrival.
+    /// Returns the slot of the queued request at an index; index 0 is the oldest arrival.
     pub(super) fn slot(&self, index: usize) -> usize {
         self.slots[index]
     }
--- a/src/admission/request.rs
+++ b/src/admission/request.rs
@@ -21,12 +21,13 @@
     Calling,
 }
 
-/// An open request: it is unanswered, or its execution has not ended.
+/// An open request: a request that is unanswered or whose execution has not ended.
 pub(super) struct Request {
     pub(super) id: RequestId,
-    /// Index of the operation.
+    /// Index of the requested operation in the deployment's operations.
     pub(super) operation: usize,
-    /// Index of the tenant, if the request has one.
+    /// Index of the request's tenant in the deployment's tenants; `None` if the request has no
+    /// tenant.
     pub(super) tenant: Option<usize>,
     pub(super) times: RequestTimes,
     /// Memory that the request uses while it is queued, in kilobytes.
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -30,11 +30,13 @@
 pub enum LoadReport {
     /// No load report is sent.
     Disabled,
-    /// Shedding level, 0 to 1. Load balancers do not send requests whose rank, 0 to 1, is lower.
+    /// Shedding level, 0 to 1. Load balancers do not send requests whose rank, 0 to 1, is below
+    /// this level.
     SheddingLevel,
     /// Highest number of requests that each load balancer may have in flight at this node.
     Credit,
-    /// Probability, 0 to 1, with which a load balancer that selects this node does not skip it.
+    /// Probability, 0 to 1, with which a load balancer that has selected this node for a request
+    /// sends the request to this node.
     Weight,
 }
 
--- a/src/events.rs
+++ b/src/events.rs
@@ -29,7 +29,7 @@
 /// A request that was read from a connection.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Id of this attempt.
+    /// Id of this attempt, unique during the life of the node.
     pub id: RequestId,
     /// Operation that is requested.
     pub operation: OperationId,
@@ -77,14 +77,15 @@
     Abandoned,
 }
 
-/// Gauges of the node. A gauge that the host does not have is `None`.
+/// Measurements that the host takes of the node and its process. A value that the host cannot
+/// measure is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Recent share of the cores' time in use, 0 to 1.
+    /// Fraction of the cores' time that was recently in use, 0 to 1.
     pub cpu_busy: Option<f64>,
     /// Number of executions that wait for a core.
     pub runnable: Option<f64>,
-    /// Share of the memory that is in use, 0 to 1.
+    /// Fraction of the memory that is in use, 0 to 1.
     pub memory_used: Option<f64>,
     /// Number of open connections.
     pub connections: Option<f64>,
