--- a/crates/rate-limits/src/bucket.rs
+++ b/crates/rate-limits/src/bucket.rs
@@ -41,8 +41,8 @@
     Rate,
     /// The number of requests of the key in flight.
     InFlight,
-    /// The total in flight: the key has its share, and the rest is in use or reserved for other
-    /// keys.
+    /// The total number of requests in flight: the key has its share of the total, and the rest is
+    /// in use or reserved for other keys.
     Share,
     /// The memory: the table has no slot for another key.
     NoMemory,
--- a/crates/rate-limits/src/key_table.rs
+++ b/crates/rate-limits/src/key_table.rs
@@ -8,13 +8,13 @@
 /// The state of one key in one bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyState {
-    /// Id of the bucket.
+    /// Id of the bucket, which no other definition of a bucket ever has.
     pub bucket: u32,
     /// Hash of the key.
     pub key: u64,
     /// Theoretical arrival time: the time of the next request if requests arrived at an even rate.
     pub due: Nanos,
-    /// Number of requests in flight.
+    /// Number of admitted requests of the key that have not ended.
     pub in_flight: u32,
 }
 
--- a/crates/rate-limits/src/lib.rs
+++ b/crates/rate-limits/src/lib.rs
@@ -1,5 +1,5 @@
-//! Limits per key: the rate of a key, its number of requests in flight, and the shares of keys in a
-//! total.
+//! Limits per key: the rate of a key's requests, the number of them in flight, and the key's share
+//! of the total number of requests in flight.
 //!
 //! A [`Bucket`] defines limits, which apply to each of its keys separately. Memory is bounded for
 //! any number of keys: states that do not fit into the table of exact states are kept in a sketch,
--- a/crates/rate-limits/src/limiter.rs
+++ b/crates/rate-limits/src/limiter.rs
@@ -20,7 +20,8 @@
 const EVICTION_SAMPLE: usize = 8;
 /// Maximum number of entries that one call checks for ageing.
 const KEYS_AGED_PER_CALL: usize = 64;
-/// Divisor of a bucket's total that gives the part reserved for keys with less than an even share.
+/// Divisor of a bucket's limit on the total number of requests in flight. The quotient is reserved
+/// for keys with less than an even share of that limit.
 const RESERVED_PART: u32 = 8;
 
 /// A bucket's definition, counters and hold time.
@@ -39,7 +40,8 @@
         MIN_RETRY_AFTER.max((self.mean_hold_time / f64::from(permits.max(1))) as Nanos)
     }
 
-    /// Returns whether a key with `own` requests in flight may have one more of the bucket's total.
+    /// Returns whether a key with `own` requests in flight may have one more within the bucket's
+    /// limit on the total number in flight.
     fn has_share(&self, own: u32) -> bool {
         let Some(total) = self.bucket.max_total_in_flight else {
             return true;
@@ -78,7 +80,7 @@
     }
 }
 
-/// Limits requests by the buckets and keys that they are counted in.
+/// Admits or refuses requests by the limits of the buckets in which they are counted.
 pub struct RateLimiter {
     buckets: Vec<BucketState>,
     last_id: u32,
--- a/crates/rules/src/compile.rs
+++ b/crates/rules/src/compile.rs
@@ -39,7 +39,7 @@
 /// Names that expressions may use.
 #[derive(Clone, Debug, Default)]
 pub struct Vocabulary {
-    /// Whether operations and tenants may have any name. Set where there are no settings to check
+    /// True if operations and tenants may have any name, because there are no settings to check the
     /// names against.
     pub open: bool,
     /// Names of the operations, in the order of the settings.
@@ -48,9 +48,9 @@
     pub tenants: Vec<String>,
     /// Declared maximum length in bytes of request parameters, by parameter name.
     pub params: BTreeMap<String, usize>,
-    /// Named sets of addresses in the settings.
+    /// Address sets of the settings, by name.
     pub sets: BTreeMap<String, Arc<AddressSet>>,
-    /// Named lists of strings in the settings.
+    /// String lists of the settings, by name.
     pub lists: BTreeMap<String, Vec<String>>,
 }
 
--- a/crates/rules/src/compile/node.rs
+++ b/crates/rules/src/compile/node.rs
@@ -14,11 +14,11 @@
 pub enum Function {
     /// `size`: number of characters, bytes, items or parameters.
     Size,
-    /// `startsWith`.
+    /// `startsWith`: whether a string begins with another string.
     StartsWith,
-    /// `endsWith`.
+    /// `endsWith`: whether a string ends with another string.
     EndsWith,
-    /// `contains`.
+    /// `contains`: whether a string contains another string.
     Contains,
     /// `indexOf`: number of characters before the first occurrence, or -1 if there is none.
     IndexOf,
@@ -113,17 +113,17 @@
     HasSlot(u16),
     /// Whether the request has a parameter whose name is computed.
     HasParam(Box<Node>),
-    /// `!a`.
+    /// A logical negation, `!a`.
     Not(Box<Node>),
-    /// `-a`.
+    /// An arithmetic negation, `-a`.
     Minus(Box<Node>),
     /// An operator between two operands.
     Binary(Binary, Box<(Node, Node)>),
-    /// `a && b && c`.
+    /// A conjunction of two or more operands, `a && b && c`.
     And(Box<[Node]>),
-    /// `a || b || c`.
+    /// A disjunction of two or more operands, `a || b || c`.
     Or(Box<[Node]>),
-    /// `a ? b : c`.
+    /// A conditional, `a ? b : c`: condition, value if true, value if false.
     If(Box<(Node, Node, Node)>),
     /// A list of computed items.
     List(Box<[Node]>),
--- a/crates/rules/src/error.rs
+++ b/crates/rules/src/error.rs
@@ -8,7 +8,7 @@
 pub struct ExpressionError {
     /// Byte range of the expression's text that the error refers to.
     pub at: Range<usize>,
-    /// Description of what was found.
+    /// Description of the faulty text or value.
     pub what: String,
     /// Description of what was expected at this position.
     pub expected: String,
--- a/crates/rules/src/facts.rs
+++ b/crates/rules/src/facts.rs
@@ -177,7 +177,8 @@
 pub struct ParamNames {
     names: Vec<(Box<str>, usize)>,
     slots_by_name: HashMap<Box<str>, u16>,
-    /// Whether a rule iterates over all parameters or computes a parameter's name.
+    /// True if a rule iterates over all parameters or computes a parameter's name, so that all
+    /// parameters of a request must be kept.
     needs_all: bool,
 }
 
@@ -269,7 +270,8 @@
 pub struct Params<'a> {
     slots: SmallVec<[Option<Result<&'a str, EvaluationError>>; 16]>,
     pairs: SmallVec<[(&'a str, Result<&'a str, EvaluationError>); 1]>,
-    /// Reason why `pairs` does not contain all parameters.
+    /// Reason why `pairs` does not contain all parameters; `None` if it contains all of them or
+    /// none are needed.
     incomplete: Option<EvaluationError>,
 }
 
--- a/crates/rules/src/index.rs
+++ b/crates/rules/src/index.rs
@@ -114,7 +114,7 @@
     ipv4: PrefixMap<Ipv4Net, RuleList>,
     ipv6: PrefixMap<Ipv6Net, RuleList>,
     sets: Vec<(Arc<AddressSet>, RuleList)>,
-    /// Rules that are not indexed.
+    /// Rules without an indexed test, which are evaluated for every request.
     unindexed: RuleList,
     /// Position in [`KINDS`] of the kind of each rule's test, for explanations.
     kinds: Vec<u8>,
--- a/crates/rules/src/ruleset.rs
+++ b/crates/rules/src/ruleset.rs
@@ -79,15 +79,15 @@
 pub enum Field {
     /// The name. Also used for errors that refer to the rule as a whole.
     Name,
-    /// The condition.
+    /// The condition, from [`RuleSource::when`].
     When,
-    /// The operation.
+    /// The operation, from [`RuleSource::operation`].
     Operation,
-    /// The key.
+    /// The key, from [`RuleSource::key`].
     Key,
-    /// The rank.
+    /// The rank, from [`RuleSource::rank`].
     Rank,
-    /// The class.
+    /// The class, from [`RuleSource::class`].
     Class,
     /// A fact for the log, by its index.
     Fact(usize),
@@ -97,11 +97,11 @@
 
 /// An error in a rule or in the whole set.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{error}")]
+#[error("invalid rule or rule set: {error}")]
 pub struct RuleError {
-    /// Index of the rule; `None` if the error refers to the whole set.
+    /// Index of the faulty rule in the set; `None` if the error refers to the whole set.
     pub rule: Option<usize>,
-    /// Part of the rule.
+    /// Part of the rule that the error refers to.
     pub field: Field,
     /// Error, with its position in the text of the field.
     pub error: ExpressionError,
@@ -194,9 +194,10 @@
     pub place: usize,
     /// The rule that matched.
     pub rule: &'r Rule,
-    /// Hash of the key; equal keys have equal hashes.
+    /// Hash of the key that the rule gives the request; equal keys have equal hashes. `None` if the
+    /// rule gives no key.
     pub key: Option<u64>,
-    /// Rank, from 0 to 1.
+    /// Rank that the rule gives the request, from 0 to 1; `None` if the rule gives none.
     pub rank: Option<f64>,
     /// Buckets, by their indices in [`RuleSet::buckets`], each with the hash of its key.
     pub buckets: SmallVec<[(u16, u64); BUCKETS_MAX]>,
@@ -215,9 +216,10 @@
     pub output: Option<RuleOutput<'r>>,
     /// Rules whose evaluation failed before a match, by index, with the errors.
     pub errors: SmallVec<[(usize, EvaluationError); 4]>,
-    /// Whether evaluation stopped because the request's cost limit was reached.
+    /// True if evaluation stopped because the request's cost limit was reached; the remaining rules
+    /// were not evaluated.
     pub exhausted: bool,
-    /// Units of cost used.
+    /// Units of cost charged for all evaluations of the request.
     pub cost: u64,
     /// Number of conditions evaluated.
     pub evaluated_count: usize,
@@ -228,7 +230,7 @@
 pub struct Scratch {
     arena: Bump,
     secret: u64,
-    /// Whether outputs also contain the texts of keys.
+    /// True if outputs also contain the texts of keys, for test cases and explanations.
     pub shows_keys: bool,
 }
 
--- a/crates/rules/src/ruleset/explain.rs
+++ b/crates/rules/src/ruleset/explain.rs
@@ -16,7 +16,7 @@
     pub evaluated: bool,
     /// Kind of the test under which the rule is indexed.
     pub index_kind: &'static str,
-    /// Result of the condition.
+    /// Whether the condition holds, or the error with which its evaluation failed.
     pub result: Result<bool, EvaluationError>,
     /// Cost of evaluating the condition, in units.
     pub cost: u64,
--- a/crates/rules/src/syntax.rs
+++ b/crates/rules/src/syntax.rs
@@ -34,39 +34,40 @@
 /// The kinds of expressions.
 #[derive(Clone, Debug)]
 pub enum ExpressionKind {
-    /// `true`.
+    /// A bool literal: `true` or `false`.
     Bool(bool),
-    /// `12`.
+    /// An int literal, such as `12`.
     Int(i64),
-    /// `1.5`.
+    /// A double literal, such as `1.5`.
     Float(f64),
-    /// `"text"`.
+    /// A string literal, such as `"text"`.
     Text(String),
-    /// `b"bytes"`.
+    /// A bytes literal, such as `b"bytes"`.
     Bytes(Vec<u8>),
-    /// `name`.
+    /// A name, such as that of a fact, a macro variable, an address set or a string list.
     Name(String),
-    /// `of.field`.
+    /// A selection `of.field`: the operand `of` and the name of the field.
     Select(Box<Expression>, String),
-    /// `of[at]`.
+    /// An index expression `of[at]`: a list with the index of an item, or `params` with the name of
+    /// a parameter.
     Index(Box<Expression>, Box<Expression>),
-    /// `function(...)`.
+    /// A function call `function(...)`: the name of the function and the arguments.
     Call(String, Vec<Expression>),
-    /// `of.method(...)`.
+    /// A method call `of.method(...)`: the receiver `of`, the name of the method and the arguments.
     Method(Box<Expression>, String, Vec<Expression>),
-    /// `[a, b]`.
+    /// A list literal, such as `[a, b]`.
     List(Vec<Expression>),
-    /// `!a`.
+    /// A logical negation, `!a`.
     Not(Box<Expression>),
-    /// `-a`.
+    /// An arithmetic negation, `-a`.
     Minus(Box<Expression>),
     /// `a + b`, and the other operators of [`Binary`].
     Binary(Binary, Box<Expression>, Box<Expression>),
-    /// `a && b && c`.
+    /// A conjunction of two or more operands, `a && b && c`.
     And(Vec<Expression>),
-    /// `a || b || c`.
+    /// A disjunction of two or more operands, `a || b || c`.
     Or(Vec<Expression>),
-    /// `a ? b : c`.
+    /// A conditional, `a ? b : c`: condition, value if true, value if false.
     If(Box<Expression>, Box<Expression>, Box<Expression>),
 }
 
--- a/crates/settings/src/cluster.rs
+++ b/crates/settings/src/cluster.rs
@@ -8,7 +8,7 @@
 use madderpoint_shared_state::{Budget, BudgetKind};
 use std::net::SocketAddr;
 
-/// Maximum number of seeds.
+/// Maximum number of addresses of members through which a node joins.
 const SEEDS_MAX: usize = 64;
 /// Maximum number of voters.
 const ARBITERS_MAX: usize = 9;
@@ -225,7 +225,7 @@
         arbiters
     }
 
-    /// Reports two budgets with the same id.
+    /// Reports two budgets with the same id, which messages could not distinguish.
     fn check_duplicate_budgets(&mut self, element: &Element, budgets: &[Budget]) {
         let (mut ids, mut duplicate) = (Vec::new(), None);
         for budget in budgets {
--- a/crates/settings/src/diagnostics.rs
+++ b/crates/settings/src/diagnostics.rs
@@ -11,9 +11,9 @@
 /// The location of a fault in a file. Offsets and lengths are in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Location {
-    /// An offset.
+    /// One byte, by its offset.
     At(usize),
-    /// An offset and a length.
+    /// A range of bytes, by its offset and its length.
     Span(usize, usize),
     /// The file as a whole.
     Whole,
@@ -22,7 +22,7 @@
 /// A fault of a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Location of the fault.
+    /// Location of the fault in the file, which the displayed text gives as line and column.
     pub location: Location,
     /// Path of elements and attributes of the faulty field; empty if the fault concerns no field.
     pub field: String,
@@ -33,7 +33,7 @@
 }
 
 impl Diagnostic {
-    /// Returns a diagnostic on a field.
+    /// Returns a diagnostic; `field` is empty if the fault concerns no field.
     pub fn new(
         location: Location,
         field: impl Into<String>,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -37,7 +37,8 @@
     pub cluster: Option<ClusterSettings>,
     /// Settings of rollouts in stages, if the file has the element `<rollout>`.
     pub rollout: Option<RolloutSettings>,
-    /// Number in the file (0 if absent), and a hash of the file's text.
+    /// Version number that the file gives its settings (0 if absent), and a hash of the file's
+    /// text.
     pub number: (u64, u64),
 }
 
@@ -120,8 +121,8 @@
     })
 }
 
-/// Checks that a limit of the whole cluster comes with a cluster and with voters, which elect the
-/// lender of quotas.
+/// Checks that a file with quotas of the whole cluster also has the element `<fleet>` with voters,
+/// which elect the lender of the quotas.
 fn check_quotas(
     root: &Element,
     rules: Option<&RuleConfig>,
@@ -144,8 +145,8 @@
     }
 }
 
-/// Checks that a rollout comes with voters, which agree on its stages, and with a number, which
-/// distinguishes the versions of the settings.
+/// Checks that a file with the element `<rollout>` also names voters, which agree on the stages of
+/// a rollout, and has a number, which distinguishes the versions of the settings.
 fn check_rollout(root: &Element, has_voters: bool, number: u64) -> Result<(), Vec<Diagnostic>> {
     let Some(element) = root.one("rollout") else {
         return Ok(());
--- a/crates/settings/src/rollout.rs
+++ b/crates/settings/src/rollout.rs
@@ -19,7 +19,7 @@
     pub plan: Plan,
 }
 
-/// Parses a share from 0.001 to 1 and returns it in thousandths.
+/// Parses a fraction from 0.001 to 1 and returns it in thousandths.
 fn thousandths(text: &str) -> Option<u32> {
     let share = text
         .parse::<f64>()
@@ -34,7 +34,8 @@
 }
 
 impl Reader {
-    /// Reads a share into `into`, in thousandths; `into` is unchanged if the attribute is absent.
+    /// Reads a fraction into `into`, in thousandths; `into` is unchanged if the attribute is
+    /// absent.
     fn share(&mut self, element: &Element, name: &str, into: &mut u32) {
         let Some(text) = element.get(name) else {
             return;
--- a/crates/settings/src/rule_config.rs
+++ b/crates/settings/src/rule_config.rs
@@ -50,7 +50,7 @@
 /// Compiled rules with their buckets, quotas, operations and test cases.
 #[derive(Debug)]
 pub struct RuleConfig {
-    /// Compiled rule set.
+    /// Rule set that is evaluated for each request.
     pub rules: RuleSet,
     /// Buckets, in the order of the rule set's bucket indices.
     pub buckets: Vec<Bucket>,
--- a/crates/settings/src/sample_request.rs
+++ b/crates/settings/src/sample_request.rs
@@ -20,9 +20,9 @@
     pub estimate: Option<i64>,
     /// Memory that the request reserves, in KB.
     pub need: Option<f64>,
-    /// Rank, from 0 to 1.
+    /// Rank of the request, from 0 to 1.
     pub rank: Option<f64>,
-    /// Number of the load balancer.
+    /// Number of the load balancer that forwards the request.
     pub peer: Option<u64>,
     /// Arrival time, in nanoseconds since the Unix epoch. The default is the epoch, so that the
     /// result of a test case does not depend on the current date.
--- a/crates/settings/src/scenario.rs
+++ b/crates/settings/src/scenario.rs
@@ -69,9 +69,9 @@
 /// The faults of a link. Shares of the traffic are from 0 to 1.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Whether all traffic is dropped.
+    /// True if the links drop all traffic.
     pub cut: bool,
-    /// Whether traffic is held back until the fault ends.
+    /// True if the links hold back all traffic until the fault ends.
     pub hold: bool,
     /// Share of the traffic that is lost.
     pub loss: f64,
@@ -92,15 +92,15 @@
 /// A fault with the links that it applies to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LinkFault {
-    /// Kind of the links.
+    /// Kind of the links to which the fault applies.
     pub on: LinkKind,
-    /// Sender of the traffic.
+    /// Sender of the affected traffic.
     pub from: NodeSelector,
-    /// Receiver of the traffic.
+    /// Receiver of the affected traffic.
     pub to: NodeSelector,
-    /// Whether the fault also applies to the opposite direction.
+    /// True if the traffic from `to` to `from` is affected as well.
     pub both: bool,
-    /// Fault of the links.
+    /// Loss, delay and other faults of the affected traffic.
     pub fault: Fault,
 }
 
@@ -123,16 +123,16 @@
     Stop(String),
     /// Suspends the process of a node and resumes it (SIGSTOP, SIGCONT).
     Pause {
-        /// Name of the node.
+        /// Name of the node whose process is suspended.
         node: String,
-        /// Duration.
+        /// Time from the suspension of the process until it is resumed.
         time: Duration,
     },
     /// Makes a node reload its settings (SIGHUP).
     Hup(String),
     /// Starts a node, optionally under another name or with another version of the program.
     Start {
-        /// Name of the node.
+        /// Name of the node that is started.
         node: String,
         /// Name that the node takes, if not its own.
         name: Option<String>,
@@ -141,11 +141,11 @@
     },
     /// Sends datagrams that do not come from a member.
     UnauthenticatedDatagrams {
-        /// Nodes that receive them.
+        /// Nodes that receive the datagrams.
         to: NodeSelector,
-        /// Number per second to each node.
+        /// Number of datagrams per second to each node.
         a_second: u64,
-        /// Duration.
+        /// Time for which the datagrams are sent.
         time: Duration,
     },
     /// Expects that the nodes that reach each other agree on the members.
@@ -155,11 +155,11 @@
         /// Number of groups of nodes that do not reach each other.
         sides: usize,
     },
-    /// Expects that a node sees another one with a liveness.
+    /// Expects that a node considers another node to have a given liveness.
     Sees {
-        /// Name of the node.
+        /// Name of the node whose view of the members is checked.
         node: String,
-        /// Name of the other node.
+        /// Name of the node whose liveness is checked.
         other: String,
         /// Liveness, as status commands print it.
         liveness: String,
@@ -168,20 +168,21 @@
     },
     /// Changes the rate and the keys of the requests to nodes.
     Load {
-        /// Nodes that receive them.
+        /// Nodes that receive the requests.
         to: NodeSelector,
-        /// Number per second to each node.
+        /// Number of requests per second to each node.
         a_second: u64,
         /// First and last of the keys that the requests carry; unchanged if `None`.
         keys: Option<(u64, u64)>,
     },
     /// Kills the backend service, or makes it slow or failing, for all nodes or for one zone.
     Service {
-        /// Duration.
+        /// Time for which the service is down, slow or failing.
         time: Duration,
-        /// Whether the service dies.
+        /// True if the service is down for `time`, instead of being slow or failing. `zone`,
+        /// `slower` and `fails` then have no effect.
         dies: bool,
-        /// Zone of the affected nodes; all zones if `None`.
+        /// Zone whose nodes find the service slow or failing; all zones if `None`.
         zone: Option<String>,
         /// Additional delay of the service's answers.
         slower: Duration,
@@ -190,7 +191,7 @@
     },
     /// Expects a condition of the shared state that a node shows.
     Holds {
-        /// Name of the node.
+        /// Name of the node whose status is checked.
         node: String,
         /// Condition, by its name in the schema (type `held`).
         what: String,
@@ -199,34 +200,34 @@
     },
     /// Offers settings to a node, which accepts or rejects them.
     Offer {
-        /// Name of the node.
+        /// Name of the node that receives the settings.
         node: String,
-        /// Number of the settings.
+        /// Version number of the offered settings.
         number: u64,
         /// Change that the settings make, by its name in the schema (type `offered`).
         change: String,
-        /// Whether the node must reject the settings.
+        /// True if the node must reject the settings; false if it must accept them.
         turned_down: bool,
     },
     /// Halts or rolls back the rollout in progress by a command to a node.
     EndChange {
-        /// Name of the node.
+        /// Name of the node that receives the command.
         node: String,
-        /// Whether the rollout is rolled back instead of halted.
+        /// True if the command rolls the rollout back; false if it halts the rollout.
         back: bool,
     },
     /// Makes writes of a node's persisted state fail, or succeed again.
     Disk {
-        /// Name of the node.
+        /// Name of the node whose writes are affected.
         node: String,
-        /// Whether the disk of the node is full.
+        /// True if writes fail from now on, as on a full disk; false if they succeed again.
         full: bool,
     },
     /// Expects that all selected nodes that are up run the settings with a number.
     Runs {
-        /// Selected nodes.
+        /// Nodes that must run the settings.
         to: NodeSelector,
-        /// Number of the settings.
+        /// Version number of the settings that must run.
         number: u64,
         /// Maximum time until the expectation is met.
         within: Duration,
@@ -234,13 +235,13 @@
     /// Expects that all selected nodes that are up know that a rollout has an outcome, or has
     /// reached a stage.
     Change {
-        /// Selected nodes.
+        /// Nodes that must know the outcome or the stage.
         to: NodeSelector,
-        /// Number of the rollout's settings.
+        /// Version number of the settings that are rolled out.
         number: u64,
-        /// Outcome, as status commands print it.
+        /// Required outcome, as status commands print it; any outcome if empty.
         fate: String,
-        /// Stage.
+        /// Number of the stage that the rollout must at least have reached; 0 if any.
         stage: u32,
         /// Maximum time until the expectation is met.
         within: Duration,
@@ -249,7 +250,7 @@
     Used {
         /// Time over which the use is measured.
         over: Duration,
-        /// Minimum share, from 0 to 1.
+        /// Minimum share of the limit that must be used, from 0 to 1.
         least: f64,
         /// Maximum time until the expectation is met.
         within: Duration,
@@ -265,13 +266,15 @@
     pub survives: usize,
     /// Time for which the service is down after it has died.
     pub down: Duration,
-    /// Time for which the service then warms up.
+    /// Time after a restart during which the service warms up and survives fewer calls in flight.
     pub warm: Duration,
-    /// Whether the nodes judge the health of the service together.
+    /// True if the nodes judge the health of the service together, by the calls of all nodes.
     pub judged: bool,
-    /// Maximum number of attempts of all nodes while the service is down; not checked if `None`.
+    /// Maximum number of calls that all nodes may attempt while the service is down; not checked if
+    /// `None`.
     pub tries_most: Option<usize>,
-    /// Whether the calls of all nodes together must ramp up after the service has recovered.
+    /// True if the scenario requires that the calls of all nodes together ramp up after the service
+    /// has recovered.
     pub slow_start: bool,
 }
 
@@ -282,7 +285,7 @@
     pub count: u64,
     /// Limit on requests of each key per second; none if 0.
     pub a_second: u32,
-    /// Maximum number of these requests at once, at least 1.
+    /// Maximum number of requests of a key that are admitted at once after a pause, at least 1.
     pub burst: u32,
     /// Limit on requests of each key in flight; none if 0.
     pub max_in_flight: u32,
@@ -295,7 +298,7 @@
 pub struct Step {
     /// Time since the start of the scenario.
     pub at: Duration,
-    /// Action or expectation.
+    /// Action to perform, or expectation to check, at that time.
     pub action: Action,
 }
 
@@ -308,7 +311,7 @@
     pub seed: u64,
     /// Number of nodes, at most [`NODES_MAX`].
     pub nodes: usize,
-    /// Number of zones.
+    /// Number of zones over which the nodes are spread.
     pub zones: usize,
     /// Names of the nodes that are not started at the beginning.
     pub absent: Vec<String>,
--- a/crates/settings/src/scenario/parse.rs
+++ b/crates/settings/src/scenario/parse.rs
@@ -314,7 +314,6 @@
     )
 }
 
-/// Returns the value of an attribute.
 fn text<'e>(element: &'e Element, name: &str) -> Option<&'e str> {
     element.get(name).map(|text| text.value.as_str())
 }
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -14,21 +14,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SchemaError {
     /// The schema is not well-formed XML.
-    #[error("{}; expected {}", .0.found, .0.expected)]
+    #[error("schema cannot be read: {}; expected {}", .0.found, .0.expected)]
     Xml(Diagnostic),
     /// The root element is not `xs:schema`.
-    #[error("the root element is not xs:schema")]
+    #[error("the root element of the schema is not xs:schema")]
     NoSchema,
     /// The schema uses an unsupported element, or uses an element in an unsupported way.
-    #[error("this use of {element} is not supported")]
+    #[error("the schema uses {element} in a way that is not supported")]
     Unsupported {
-        /// Name of the element.
+        /// Name of the unsupported element.
         element: String,
     },
     /// A required attribute is missing.
-    #[error("{element} has no attribute '{attribute}'")]
+    #[error("{element} in the schema has no attribute '{attribute}'")]
     MissingAttribute {
-        /// Name of the element.
+        /// Name of the element that lacks the attribute.
         element: String,
         /// Name of the missing attribute.
         attribute: String,
@@ -36,13 +36,13 @@
     /// A pattern cannot be compiled.
     #[error("pattern {pattern:?} cannot be compiled: {reason}")]
     Pattern {
-        /// Text of the pattern.
+        /// Pattern as it stands in the schema.
         pattern: String,
         /// Error of the pattern compiler.
         reason: String,
     },
     /// The schema refers to a type that it does not define.
-    #[error("type '{0}' is not defined")]
+    #[error("type '{0}' is not defined in the schema")]
     UnknownType(String),
 }
 
--- a/crates/settings/src/test_case.rs
+++ b/crates/settings/src/test_case.rs
@@ -22,7 +22,7 @@
     pub key: Option<String>,
     /// Rank that the rule must give, in its printed form.
     pub rank: Option<String>,
-    /// Verdict of the rule: `throttle`, `error` or `none`.
+    /// Verdict that the rule must give: `throttle`, `error` or `none`.
     pub verdict: Option<String>,
 }
 
--- a/crates/settings/src/xml.rs
+++ b/crates/settings/src/xml.rs
@@ -44,7 +44,7 @@
     pub name: String,
     /// Offset of the name in the file, in bytes.
     pub at: usize,
-    /// Value of the attribute.
+    /// Value of the attribute, with entities resolved.
     pub value: Text,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Element {
-    /// Returns the value of an attribute.
+    /// Returns the value of an attribute; `None` if the element does not have the attribute.
     pub fn get(&self, name: &str) -> Option<&Text> {
         self.attributes
             .iter()
--- a/crates/shared-state/src/backend_gate.rs
+++ b/crates/shared-state/src/backend_gate.rs
@@ -26,9 +26,9 @@
 /// Numbers of requests that a [`BackendGate`] admitted and rejected since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GateCounts {
-    /// Number of admitted requests.
+    /// Number of requests that the health and the budgets of the backend service allowed.
     pub admitted: u64,
-    /// Number of rejected requests.
+    /// Number of requests that the health or the budgets of the backend service did not allow.
     pub rejected: u64,
 }
 
@@ -41,8 +41,8 @@
     refilled_at: Nanos,
     /// Moving average of the number of calls per request.
     calls_per_request: f64,
-    /// Accumulates the admitted share of a degraded or recovering service; each whole unit admits
-    /// one request.
+    /// Sum of the admitted share of calls of a degraded or recovering service, added for each
+    /// request. When the sum reaches 1, a request is admitted and 1 is subtracted.
     admission_credit: f64,
     last_probe_at: Nanos,
     counts: GateCounts,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Admits one more request, or returns the Retry-After in nanoseconds of a rejected one.
-    /// Without `budgets` or `health`, the respective check passes.
+    /// Admits one more request, or rejects it and returns its Retry-After in nanoseconds. Budgets
+    /// or health that are not given are not checked.
     pub fn admits(
         &mut self,
         now: Nanos,
--- a/crates/shared-state/src/budget.rs
+++ b/crates/shared-state/src/budget.rs
@@ -25,12 +25,12 @@
 /// The quantity that a budget limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BudgetKind {
-    /// Calls per second.
+    /// Limits the calls per second.
     Rate {
         /// The longest period whose unused calls a node may save up, in nanoseconds.
         burst: Nanos,
     },
-    /// Calls in flight at once.
+    /// Limits the calls that are in flight at the same time.
     InFlight {
         /// The longest time that a call may take, in nanoseconds.
         max_call_time: Nanos,
@@ -48,9 +48,9 @@
     pub floor: u32,
     /// The maximum number of processes that run at once; above 0. A floor is set aside for each.
     pub max_nodes: u32,
-    /// The quantity that is limited.
+    /// Whether the limit is on calls per second or on calls in flight.
     pub kind: BudgetKind,
-    /// Whether only retries of failed calls count towards the budget.
+    /// True if only retries of failed calls need a unit of the budget; false if all calls do.
     pub retries_only: bool,
 }
 
@@ -60,7 +60,7 @@
     /// The limit or the number of nodes is 0.
     #[error("budget '{name}': the limit and the number of nodes must be above 0")]
     Zero {
-        /// The budget's name.
+        /// Name of the budget that is rejected.
         name: String,
     },
     /// The floors of all nodes together exceed the limit.
@@ -68,7 +68,7 @@
         "budget '{name}': the floors of {max_nodes} nodes are {floors}, more than the limit of {limit}"
     )]
     FloorsExceedLimit {
-        /// The budget's name.
+        /// Name of the budget that is rejected.
         name: String,
         /// The maximum number of processes that run at once.
         max_nodes: u32,
@@ -136,9 +136,9 @@
 /// Units granted to a node for a limited time, with the figures that decided their number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lease {
-    /// The lease's id.
+    /// Id that the borrower reports to the lender while it holds the lease.
     pub id: LeaseId,
-    /// Number of units granted.
+    /// Number of units that the borrower may use in addition to its floor.
     pub units: u32,
     /// How long the lease lasts, in nanoseconds on the borrower's clock, counted from the instant
     /// at which the borrower sent its request.
--- a/crates/shared-state/src/budget/borrower.rs
+++ b/crates/shared-state/src/budget/borrower.rs
@@ -50,7 +50,7 @@
 /// The latest lease and its age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseAge {
-    /// The lease.
+    /// The lease as granted, with all its units.
     pub lease: Lease,
     /// Time since the lease was requested, in nanoseconds.
     pub since_request: Nanos,
@@ -58,7 +58,7 @@
     pub since_grant: Nanos,
 }
 
-/// Number of calls that a budget allowed and refused.
+/// Numbers of calls that a budget allowed and refused since its borrower was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     /// Calls for which a unit was available.
@@ -75,7 +75,8 @@
     /// For a rate: calls that may be made at once, as of `refilled_at`.
     tokens: f64,
     refilled_at: Nanos,
-    /// Share of the units that is used, 0 to 1; below 1 during the backend's slow start.
+    /// Share of the floor and the leased units that the node may use, from 0 to 1; below 1 during
+    /// the backend's slow start.
     usable_share: f64,
     in_flight: u32,
     /// Attempts per window, allowed or not, from the current window backwards.
@@ -209,9 +210,9 @@
         f64::from(self.units(now)) * self.usable_share
     }
 
-    /// Limits use to this share of the units from now on. If the share falls, saved tokens are cut
-    /// to `kept_tokens`, which is less than one call: nodes that learn of a backend's start in the
-    /// same instant must not all send a call at once.
+    /// Limits the use of the floor and the leased units to this share from now on. If the share
+    /// falls, saved tokens are cut to `kept_tokens`, which is less than one call: nodes that learn
+    /// of a backend's start in the same instant must not all send a call at once.
     fn set_usable_share(&mut self, now: Nanos, share: f64, kept_tokens: f64) {
         if share == self.usable_share {
             return;
@@ -290,7 +291,7 @@
         Ok(())
     }
 
-    /// Whether no leased units are usable, so that only the floor is left.
+    /// Returns whether the node has only its floor, because it has no usable leased units.
     pub fn is_at_floor(&self, now: Nanos) -> bool {
         self.held.is_none_or(|held| held.units(now) == 0)
     }
--- a/crates/shared-state/src/budget/borrower/node_budgets.rs
+++ b/crates/shared-state/src/budget/borrower/node_budgets.rs
@@ -149,7 +149,7 @@
             })
     }
 
-    /// Counts a call towards the demand that was not attempted because units were short.
+    /// Records that a call was not attempted because units were short. The call counts as demand.
     pub fn note_unmet_demand(&mut self, now: Nanos) {
         for borrower in self.counted_budgets(false) {
             borrower.roll_windows(now);
--- a/crates/shared-state/src/budget/lender.rs
+++ b/crates/shared-state/src/budget/lender.rs
@@ -19,8 +19,8 @@
 /// Maximum number of leases of one borrower that may still be in use. A borrower that acknowledges
 /// none of them is granted no further lease.
 const MAX_LEASES_PER_BORROWER: usize = 16;
-/// A borrower without units is forgotten after a silence of this many times the lease duration plus
-/// the use after expiry.
+/// Multiple of the sum of the lease duration and the use after expiry. A borrower without units is
+/// forgotten after a silence of this length.
 const SILENT_LEASE_TIMES: u64 = 4;
 
 /// A lease that was granted and whose units may still be in use.
@@ -107,8 +107,7 @@
         }
     }
 
-    /// Changes the pool. If more units than that are outstanding, nothing is granted until enough
-    /// of them are free again.
+    /// Changes the pool. While more units than the new pool are outstanding, nothing is granted.
     pub fn resize(&mut self, pool: u32) {
         self.pool = pool;
     }
--- a/crates/shared-state/src/counters.rs
+++ b/crates/shared-state/src/counters.rs
@@ -100,7 +100,7 @@
 /// The counts of one window, or the sum of several windows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CounterWindow {
-    /// Counts by row.
+    /// Counts of the events in the window, by row as in [`CounterRows`].
     pub rows: CounterRows,
     /// Latency histograms by row.
     pub latency: BTreeMap<u32, Sparse>,
@@ -113,7 +113,7 @@
 /// A report of the counters of one process, or a part of such a report.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CounterReport {
-    /// The process that counted.
+    /// Process whose events are counted.
     pub process: ProcessId,
     /// Number of the version that the process runs.
     pub version: u64,
--- a/crates/shared-state/src/counters/cluster_counters.rs
+++ b/crates/shared-state/src/counters/cluster_counters.rs
@@ -69,15 +69,15 @@
 /// A window of one process.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessWindow<'a> {
-    /// The process that counted.
+    /// Process whose events are counted.
     pub process: ProcessId,
     /// Number of the window: the Unix time in milliseconds divided by [`WINDOW_MS`].
     pub number: u64,
     /// Number of the version that the process ran in this window.
     pub version: u64,
-    /// Whether this is the first window since the process started.
+    /// True for the first window since the process started, which usually lacks the full length.
     pub is_first: bool,
-    /// The counts of the window.
+    /// Counts, latencies and heavy keys of the window, as far as they were reported.
     pub window: &'a CounterWindow,
 }
 
--- a/crates/shared-state/src/counters/heavy_hitters.rs
+++ b/crates/shared-state/src/counters/heavy_hitters.rs
@@ -77,8 +77,8 @@
 
     /// Returns the maximum by which a count may be too low.
     pub fn error(&self) -> u64 {
-        // Each subtraction lowers more than `ENTRIES` counts by the same number, so that a single
-        // count lacks at most this part of all missing occurrences.
+        // Each subtraction lowers more than `ENTRIES` counts by the same number, so a single count
+        // lacks at most 1 in `ENTRIES` + 1 of all missing occurrences.
         let counted: u64 = self.entries.values().sum();
         (self.total - counted.min(self.total)) / (ENTRIES as u64 + 1)
     }
--- a/crates/shared-state/src/keyed_quota.rs
+++ b/crates/shared-state/src/keyed_quota.rs
@@ -1,13 +1,12 @@
-//! Keyed quotas: cluster-wide limits per key, either on the rate of each key or on its number in
-//! flight. There may be a hundred thousand keys, most of them rarely used, so no state is stored
-//! for a key that has not been used recently.
+//! Keyed quotas: cluster-wide limits per key, either on the rate at which the key's operations are
+//! admitted or on how many of them are in flight. There may be a hundred thousand keys, most of
+//! them rarely used, so no state is stored for a key that has not been used recently.
 //!
 //! The right to use a key consists of **units**, each of which is in one place: free at the lender
 //! ([`lender`]) or leased to a node ([`borrower`]). Units of a rate are created at that rate, and
-//! only while fewer than the burst exist; a spent unit ceases to exist. A limit on the number in
-//! flight has a fixed number of units. Because a unit is never in two places, it does not matter
-//! how long a node keeps it: over any period W all nodes together spend at most rate x W plus the
-//! burst.
+//! only while fewer than the burst exist; a spent unit ceases to exist. A limit on units in flight
+//! has a fixed number of units. Because a unit is never in two places, it does not matter how long
+//! a node keeps it: over any period W all nodes together spend at most rate x W plus the burst.
 //!
 //! In addition each node has a guaranteed floor: a few units of each key that are set aside for the
 //! node. The floors of all nodes together are created at a sixteenth of the rate. A node that is
@@ -32,7 +31,7 @@
 /// The quantity that is limited for each key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QuotaKind {
-    /// The rate of admissions.
+    /// Limits the admissions of each key per period.
     Rate {
         /// Number of units per period.
         count: u32,
@@ -41,7 +40,7 @@
         /// Maximum number of units saved up by all nodes together, including the floors.
         burst: u32,
     },
-    /// The number in flight.
+    /// Limits the units of each key that are in flight at the same time.
     InFlight {
         /// Maximum number of units in flight at once, over all nodes.
         limit: u32,
@@ -55,7 +54,7 @@
 pub struct KeyedQuota {
     /// The quota's name, unique and the same on all nodes.
     pub name: String,
-    /// The quantity that is limited.
+    /// Whether the limit of each key is on a rate or on units in flight.
     pub kind: QuotaKind,
     /// Number of units of each key that each node may use without a lease.
     pub floor: u32,
@@ -69,7 +68,7 @@
     /// The limit or the number of nodes is 0.
     #[error("'{name}': the limit and the number of nodes must be above 0")]
     Zero {
-        /// The quota's name.
+        /// Name of the quota that is rejected.
         name: String,
     },
     /// The floors of all nodes together leave no units for leases.
@@ -77,7 +76,7 @@
         "'{name}': the floors of {max_nodes} nodes are {floors}, which leaves nothing of the {field} of {bound} to lend"
     )]
     FloorsLeaveNothing {
-        /// The quota's name.
+        /// Name of the quota that is rejected.
         name: String,
         /// Maximum number of processes that run at once.
         max_nodes: u32,
@@ -91,7 +90,7 @@
     /// The rate is 0, or its units would have to be created faster than one per nanosecond.
     #[error("'{name}': the rate must be above 0 and at most one unit per nanosecond")]
     ImpossibleRate {
-        /// The quota's name.
+        /// Name of the quota that is rejected.
         name: String,
     },
 }
@@ -163,8 +162,8 @@
     }
 
     /// Returns the time in which one leasable unit is created, in nanoseconds: `Nanos::MAX` for a
-    /// limit on the number in flight, `None` for a rate of 0. The lender's clock may run fast, so
-    /// the time is extended by the clock drift bound.
+    /// limit on units in flight, `None` for a rate of 0. The lender's clock may run fast, so the
+    /// time is extended by the clock drift bound.
     pub fn unit_interval(&self) -> Option<Nanos> {
         let QuotaKind::Rate { count, period, .. } = self.kind else {
             return Some(Nanos::MAX);
@@ -179,7 +178,7 @@
     }
 
     /// Returns the time in which one unit of a node's floor is created, in nanoseconds, extended by
-    /// the clock drift bound; 0 for a limit on the number in flight.
+    /// the clock drift bound; 0 for a limit on units in flight.
     pub fn floor_interval(&self) -> Nanos {
         let QuotaKind::Rate { count, period, .. } = self.kind else {
             return 0;
@@ -200,8 +199,8 @@
     }
 }
 
-/// Intervals of the requests for keys, in nanoseconds. They follow from the settings and are the
-/// same on all nodes.
+/// Intervals of the requests for units of keyed quotas, in nanoseconds. They follow from the
+/// settings and are the same on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaTiming {
     /// Mean time between two requests of a node.
@@ -236,7 +235,7 @@
 pub struct KeyRequest {
     /// The quota's number, from [`KeyedQuota::id`].
     pub quota: u32,
-    /// The key's number.
+    /// Hash of the key's text, the same on all nodes.
     pub key: u64,
     /// Number of units that the node keeps.
     pub kept: u32,
@@ -262,9 +261,9 @@
 pub struct KeyGrant {
     /// The quota's number, from [`KeyedQuota::id`].
     pub quota: u32,
-    /// The key's number.
+    /// Hash of the key's text, the same on all nodes.
     pub key: u64,
-    /// Number of units granted.
+    /// Number of units granted in addition to those that the borrower keeps.
     pub added: u32,
     /// Time after which to request again, in nanoseconds, if units were wanted and none are
     /// granted; else 0.
@@ -281,7 +280,7 @@
     /// How long all units that the borrower now has of these keys are leased, in nanoseconds from
     /// the time at which the request was sent.
     pub lease_duration: Nanos,
-    /// The grants by key.
+    /// Grants for the keys of the request.
     pub keys: Vec<KeyGrant>,
 }
 
--- a/crates/shared-state/src/keyed_quota/borrower.rs
+++ b/crates/shared-state/src/keyed_quota/borrower.rs
@@ -3,8 +3,8 @@
 //! to retry.
 //!
 //! An operation under a key calls [`QuotaBorrower::check`], then [`QuotaBorrower::acquire`], and,
-//! for a limit on the number in flight, [`QuotaBorrower::release`] when it ends. Requests to the
-//! lender and its grants are in `requests`, read access for status, logs and tests in `view`.
+//! for a limit on units in flight, [`QuotaBorrower::release`] when it ends. Requests to the lender
+//! and its grants are in `requests`, read access for status, logs and tests in `view`.
 
 mod requests;
 mod unit_lease;
@@ -47,17 +47,17 @@
     /// For a rate: when the next unit of the floor would be created at an even rate.
     floor_due: Nanos,
     requested_at: Nanos,
-    /// Since the last request: for a rate, the units attempted; for a limit on the number in
-    /// flight, the peak in flight including refused attempts.
+    /// Since the last request: for a rate, the units attempted; for a limit on units in flight, the
+    /// peak in flight including refused attempts.
     attempts: u32,
     /// Decaying maximum of the units attempted per renewal interval.
     recent_use: f32,
-    /// Number of units needed, as of the last request.
+    /// Number of units of the key that the node needed at the last request.
     demand: u32,
     used_at: Nanos,
-    /// Time before which the lender has no units, by its last grant.
+    /// Time until which the lender has no free units of the key, according to its last grant.
     exhausted_until: Nanos,
-    /// Whether the key is queued for the next request.
+    /// True if the key is queued in `urgent`.
     is_urgent: bool,
     /// Time of the next renewal, which is also the key of the valid entry in the renewal queue.
     renewal_due: Nanos,
@@ -79,20 +79,20 @@
 /// The refusal of a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaExceeded {
-    /// Reason for the refusal.
+    /// Why no unit was available to the operation.
     pub reason: RefusalReason,
     /// Time after which to retry, in nanoseconds.
     pub retry_after: Nanos,
 }
 
-/// Number of operations admitted and refused under a quota.
+/// Numbers of operations admitted and refused under a quota since the node started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QuotaCounters {
-    /// Admitted by a leased unit.
+    /// Number of operations that spent a leased unit.
     pub by_lease: u64,
-    /// Admitted by a unit of the floor.
+    /// Number of operations that spent a unit of the floor.
     pub by_floor: u64,
-    /// Refused by reason, in the order of [`RefusalReason`].
+    /// Numbers of refused operations by reason, in the order of [`RefusalReason`].
     pub refused: [u64; 4],
 }
 
@@ -109,8 +109,8 @@
     floor: u32,
     pool: u32,
     floor_interval: Nanos,
-    /// How far ahead of its even rate a floor may be used, in nanoseconds: one interval for each
-    /// unit beyond the first.
+    /// Time by which the use of a floor may be ahead of an even rate, in nanoseconds: one interval
+    /// for each unit beyond the first.
     floor_tolerance: Nanos,
 }
 
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Whether the floor of a rate has an unused unit now.
+    /// Returns whether the floor of a rate has an unused unit now.
     fn has_floor_unit(&self, now: Nanos, key: &LeasedUnits) -> bool {
         self.floor > 0 && key.floor_due <= now.saturating_add(self.floor_tolerance)
     }
@@ -148,7 +148,7 @@
     }
 
     /// Returns the time until the floor of a rate has a unit, in nanoseconds; `Nanos::MAX` for a
-    /// limit on the number in flight and without a floor.
+    /// limit on units in flight and without a floor.
     fn floor_wait(&self, now: Nanos, key: &LeasedUnits) -> Nanos {
         match self.kind {
             QuotaKind::Rate { .. } if self.floor > 0 => {
@@ -358,7 +358,8 @@
             ..
         } = self;
         Some(keys.entry(id).or_insert_with(|| {
-            // A floor starts empty, or continues from where it was when the key was evicted.
+            // A floor starts empty when the node starts. If the key was evicted, the sketch has the
+            // time up to which the floor was used.
             let begins_at = terms.get(&id.0).map_or(0, |terms| {
                 started_at
                     .saturating_add(terms.floor_interval.saturating_mul(u64::from(terms.floor)))
@@ -405,7 +406,7 @@
         }
     }
 
-    /// Whether no lender has answered for a whole lease duration although a request was sent.
+    /// Returns whether a request was sent and no lender has answered for a whole lease duration.
     pub fn is_cut_off(&self, now: Nanos) -> bool {
         now > self
             .last_grant_at
--- a/crates/shared-state/src/keyed_quota/borrower/requests.rs
+++ b/crates/shared-state/src/keyed_quota/borrower/requests.rs
@@ -39,7 +39,8 @@
         self.refilled_at = now;
     }
 
-    /// Returns the time at which the next request may be sent if one is needed now.
+    /// Returns the earliest time at which a further request may be sent: after the batch delay, and
+    /// when a request token is available.
     pub(super) fn next_request_allowed(&self, now: Nanos) -> Nanos {
         let elapsed = self.earned_tokens(now);
         let missing = (1.0 - self.request_tokens - elapsed).max(0.0);
--- a/crates/shared-state/src/keyed_quota/borrower/unit_lease.rs
+++ b/crates/shared-state/src/keyed_quota/borrower/unit_lease.rs
@@ -10,7 +10,8 @@
     expires_at: Nanos,
     /// Number of the latest request for the key; 0 before the first.
     request: u32,
-    /// Whether the latest request was answered.
+    /// True once a grant has answered the latest request; further grants for that request are
+    /// ignored.
     is_answered: bool,
 }
 
@@ -25,7 +26,7 @@
         self.units -= 1;
     }
 
-    /// Whether a request for the key was ever sent.
+    /// Returns whether at least one request for the key was sent.
     pub(super) fn was_requested(&self) -> bool {
         self.request > 0
     }
@@ -40,7 +41,8 @@
     }
 
     /// Receives a grant, after which all units, kept and added, are valid until `expires_at`.
-    /// Returns whether the grant was applied: only the first answer to the latest request is.
+    /// Returns whether the grant was applied: only the first answer to the latest request is
+    /// applied.
     pub fn receive_grant(
         &mut self,
         now: Nanos,
--- a/crates/shared-state/src/keyed_quota/lender/key_units.rs
+++ b/crates/shared-state/src/keyed_quota/lender/key_units.rs
@@ -42,7 +42,7 @@
     pub leased: u32,
     /// Number of units that all borrowers together need, by their latest requests.
     pub demand: u64,
-    /// Number of borrowers with a record.
+    /// Number of borrowers of which the lender has a record for the key.
     pub borrowers: usize,
 }
 
@@ -93,7 +93,6 @@
             .sum()
     }
 
-    /// Returns the numbers of units and borrowers.
     pub(super) fn usage(&self) -> KeyUsage {
         KeyUsage {
             free: self.free,
@@ -229,25 +228,30 @@
             .min(timing.lease_duration)
     }
 
-    /// Returns the number of units that the borrowers lack, by their latest reports, at least 1. A
-    /// borrower that has as many units as it needs has no claim on more.
+    /// Returns the number of units that the borrowers need beyond those that they have, by their
+    /// latest reports; at least 1. A borrower with more units than it needs does not reduce the
+    /// sum.
     fn unmet_demand(&self) -> u64 {
         let lack =
             |borrower: &BorrowerUnits| u64::from(borrower.demand.saturating_sub(borrower.units));
         self.borrowers.iter().map(lack).sum::<u64>().max(1)
     }
 
-    /// Returns a borrower's share of a limit on the number in flight: the units due to it by its
-    /// part of the demand, less the units that it has.
+    /// Returns the number of further units in flight to which a borrower is entitled. The limit is
+    /// divided among the borrowers in proportion to their demands, and none gets more than its
+    /// demand. The units that the borrower already has are subtracted, so the result may be
+    /// negative.
     fn share_in_flight(&self, index: usize, units_in_all: u32) -> f64 {
         let BorrowerUnits { units, demand, .. } = self.borrowers[index];
         let part = f64::from(demand) / self.demand().max(1) as f64;
         f64::from(demand).min(f64::from(units_in_all) * part) - f64::from(units)
     }
 
-    /// Returns a borrower's share of a rate whose free units do not meet the demand: its part of
-    /// the units created since its previous request, plus, spread over a renewal interval, its part
-    /// of the surplus beyond the units created in one request interval.
+    /// Returns the number of units of a rate to which a borrower is entitled while the free units
+    /// do not meet the demand. Two quantities are divided among the borrowers in proportion to
+    /// their unmet demands: the units created since the borrower's previous request, and the
+    /// surplus of free units beyond those created in one request interval. The surplus is spread
+    /// over a renewal interval.
     fn share_of_scarce_rate(
         &self,
         timing: &QuotaTiming,
--- a/crates/shared-state/src/leader_lease.rs
+++ b/crates/shared-state/src/leader_lease.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Vote {
     candidate: ProcessId,
-    /// Number of the candidate's round.
+    /// Round of the candidate for which the vote was given.
     round: u64,
     expires_at: Nanos,
 }
@@ -167,8 +167,8 @@
         has_majority
     }
 
-    /// Returns the time until which this node is the leader; it lies in the past if the node is
-    /// not.
+    /// Returns the time until which this node is the leader. The time is in the past if the node is
+    /// not the leader.
     pub fn leader_until(&self) -> Nanos {
         self.leader_until
     }
--- a/crates/shared-state/src/messages.rs
+++ b/crates/shared-state/src/messages.rs
@@ -54,16 +54,16 @@
 /// Messages about votes, leases and quotas.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitMessage {
-    /// Sent to a voter: the candidate requests its vote.
+    /// Sent to a voter: the candidate requests the voter's vote.
     VoteRequest {
-        /// The candidate's round.
+        /// Number of the candidate's round.
         round: u64,
     },
     /// Sent by a voter: grants the vote, or names the process that holds it.
     Vote {
-        /// The candidate's round.
+        /// Round of the request that the vote answers.
         round: u64,
-        /// Whether the vote is granted.
+        /// True if the candidate now has the voter's vote.
         is_granted: bool,
         /// The process that holds the vote now, if any.
         holder: Option<ProcessId>,
@@ -72,14 +72,14 @@
     },
     /// Sent to a voter: the candidate releases the vote of this round.
     VoteRelease {
-        /// The candidate's round.
+        /// Round in which the released vote was given.
         round: u64,
     },
     /// Sent to the leader: a borrower requests leases.
     LeaseRequest {
         /// Time of the request by the borrower's clock, in nanoseconds. The grant returns it.
         sent_at: Nanos,
-        /// The borrower's zone.
+        /// Number of the borrower's zone. Scarce units are divided among the zones first.
         zone: u32,
         /// The requests, at most one per budget.
         requests: Vec<BudgetRequest>,
@@ -98,9 +98,9 @@
     },
     /// Tells the leader that the sender leaves the cluster and has released all its leases.
     Leave,
-    /// Sent to the leader: a borrower requests units of keys.
+    /// Sent to the leader: a borrower requests units of keyed quotas.
     QuotaRequest(QuotaRequest),
-    /// Sent by the leader: grants units of keys.
+    /// Sent by the leader: grants units of keyed quotas.
     QuotaGrant(QuotaGrant),
 }
 
@@ -108,9 +108,9 @@
 /// comparison with another voter.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KnownCounters {
-    /// First key of the range.
+    /// Lower bound of the range of process keys, inclusive.
     pub first_key: u64,
-    /// Last key of the range, inclusive.
+    /// Upper bound of the range of process keys, inclusive.
     pub last_key: u64,
     /// Each known process in the range with the sum of all its counts, at most
     /// [`MAX_KNOWN_PROCESSES`].
@@ -128,7 +128,7 @@
     pub total: CounterRows,
     /// Counts of the last complete minute.
     pub last_minute: CounterWindow,
-    /// End of that minute as Unix time, in milliseconds.
+    /// End of the last complete minute as Unix time, in milliseconds.
     pub minute_end_unix_ms: u64,
 }
 
@@ -137,9 +137,9 @@
 pub enum SharedMessage {
     /// A message about votes, leases or quotas.
     Limits(LimitMessage),
-    /// The counters of a process, or a part of such a report.
+    /// The counter report of a process, or a part of that report.
     CounterReport(Box<CounterReport>),
-    /// Sent by a voter to another one, which answers with the reports that the sender lacks.
+    /// Sent by a voter to another voter, which answers with the reports that the sender lacks.
     KnownCounters(KnownCounters),
     /// Sent to a voter: requests the counters of the whole cluster.
     TotalsRequest,
--- a/crates/shared-state/src/messages/decode.rs
+++ b/crates/shared-state/src/messages/decode.rs
@@ -13,7 +13,7 @@
 const MAX_BUDGETS: usize = 64;
 /// Maximum duration of a lease, in nanoseconds; longer durations are clamped.
 const MAX_LEASE_DURATION: Nanos = 3600 * SECOND;
-/// Maximum value of a unit; larger values are clamped.
+/// Maximum value of a unit to a node that requests it; larger values are clamped.
 const MAX_VALUE: f64 = 1e6;
 
 /// Decodes a message. Returns `None` if the message is malformed, exceeds a bound or is of an
--- a/crates/shared-state/src/service_health.rs
+++ b/crates/shared-state/src/service_health.rs
@@ -40,12 +40,12 @@
 const CONCLUSIVE_IN_A_ROW: u32 = 3;
 /// Duration of a step of the recovery ramp, in nanoseconds.
 const RAMP_STEP: Nanos = 5 * SECOND;
-/// Share of load that is admitted in the first step of the recovery ramp.
+/// Share of calls that is admitted in the first step of the recovery ramp.
 const RAMP_FIRST_SHARE: f64 = 1.0 / 16.0;
 /// Time after its own recovery for which a node does not follow the recovery of others, in
 /// nanoseconds.
 const RECOVERED_HOLD: Nanos = 12 * RAMP_STEP;
-/// Share of load that is admitted while a service is degraded.
+/// Share of calls that is admitted while a service is degraded.
 const DEGRADED_SHARE: f64 = 0.25;
 
 /// How a node treats a service.
@@ -84,9 +84,9 @@
 /// Numbers of calls that a [`ServiceHealth`] admitted and withheld since it was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionCounts {
-    /// Number of admitted calls.
+    /// Number of calls that [`ServiceHealth::admits`] allowed.
     pub admitted: u64,
-    /// Number of withheld calls.
+    /// Number of calls that [`ServiceHealth::admits`] refused.
     pub withheld: u64,
 }
 
@@ -96,7 +96,7 @@
     zone: u32,
     state: HealthState,
     state_since: Nanos,
-    /// Admitted share while recovering, from 0 to 1.
+    /// Share of calls that is admitted while the service is recovering, from 0 to 1.
     ramp_share: f64,
     /// The current and the previous half window.
     halves: [HalfWindow; 2],
@@ -115,7 +115,8 @@
     unaware_until: Nanos,
     /// Time at which the last recovery was complete.
     recovered_at: Option<Nanos>,
-    /// Accumulates the admitted share; a call is admitted when the sum reaches 1.
+    /// Sum of the admitted share, added for each call. When the sum reaches 1, a call is admitted
+    /// and 1 is subtracted.
     admission_credit: f64,
     counts: AdmissionCounts,
 }
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Returns the current state.
+    /// Returns the state as of the last call, report or evaluation.
     pub fn state(&self) -> HealthState {
         self.state
     }
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Returns the report of this node to the others.
+    /// Returns the report on the service that this node sends to other nodes.
     pub fn report(&mut self, now: Nanos) -> HealthReport {
         self.roll_windows(now);
         let [current, previous] = self.halves;
--- a/crates/shared-state/src/service_health/aggregation.rs
+++ b/crates/shared-state/src/service_health/aggregation.rs
@@ -22,14 +22,15 @@
     pub failing_zones: u32,
     /// Number of reporters to which the service was healthy in their last window.
     pub healthy: u32,
-    /// Mean admitted share over the nodes that admit any calls, from 0 to 1; 0 if there is none.
+    /// Mean of the admitted share of calls over the nodes that admit any calls, from 0 to 1; 0 if
+    /// no node does.
     pub mean_share: f64,
-    /// Smallest admitted share over the nodes that admit any calls, from 0 to 1; 1 if there is
-    /// none.
+    /// Smallest admitted share of calls over the nodes that admit any calls, from 0 to 1; 1 if no
+    /// node does.
     pub min_share: f64,
     /// Number of nodes with a report, conclusive or not.
     pub reports: u32,
-    /// Number of these nodes that admit less than all calls.
+    /// Number of nodes with a report that admit less than all calls.
     pub reduced: u32,
     /// Whether this node is one of the probers while the service is unavailable; see [`is_prober`].
     pub is_prober: bool,
--- a/crates/shared-state/src/service_health/report.rs
+++ b/crates/shared-state/src/service_health/report.rs
@@ -9,7 +9,7 @@
     pub zone: u32,
     /// Number of the node's calls in its last window of 2 s.
     pub calls: u32,
-    /// Number of these calls that failed.
+    /// Number of the node's calls in that window that failed.
     pub failed: u32,
     /// Share of calls that the node admits, from 0 to 1.
     pub admitted_share: f64,
@@ -50,8 +50,8 @@
         self.is_healthy() || self.failed == 0 && self.calls >= min_successes
     }
 
-    /// Returns whether the report says anything about the service. A report with few calls does
-    /// not, unless the node admits no calls or saw only successes.
+    /// Returns whether the report is evidence on the state of the service. A report with few calls
+    /// is evidence only if the node admits no calls or saw only successes.
     pub(super) fn is_conclusive(&self) -> bool {
         self.calls >= MIN_CALLS || self.admitted_share == 0.0 || self.saw_healthy()
     }
--- a/crates/shared-state/src/shared_state.rs
+++ b/crates/shared-state/src/shared_state.rs
@@ -30,7 +30,7 @@
 /// Time between two requests for the cluster's totals, in nanoseconds.
 const TOTALS_INTERVAL: Nanos = 10 * SECOND;
 /// Delay of a wake, in nanoseconds, from which the process counts as suspended: a voter cannot rely
-/// on its state from before.
+/// on its state from before the suspension.
 const SUSPENDED_AFTER: Nanos = SECOND;
 /// Maximum time from a redirect to the next lease request, in nanoseconds.
 const REDIRECT_DELAY: Nanos = 10 * MILLISECOND;
@@ -46,9 +46,10 @@
     fn lease_requests(&mut self, now: Nanos) -> (Nanos, Vec<BudgetRequest>);
     /// Passes on leases, by budget id, that were requested at `requested_at` and granted.
     fn receive_leases(&mut self, now: Nanos, requested_at: Nanos, leases: &[(u32, Lease)]);
-    /// Passes on a grant of units of keys.
+    /// Passes on a grant of units of keyed quotas.
     fn receive_quota_grant(&mut self, now: Nanos, grant: QuotaGrant);
-    /// Stops the use of all leases because the node leaves. Returns whether nothing is in flight.
+    /// Stops the use of all leases because the node leaves. Returns whether no call and no unit of
+    /// a keyed quota is in flight.
     fn drop_leases(&mut self, now: Nanos) -> bool;
 }
 
@@ -68,13 +69,13 @@
 
 /// One node's participation in the shared state.
 pub struct SharedState<H: Host> {
-    /// Receiver of the side effects.
+    /// Receiver of the messages, log lines, leases and grants.
     pub host: H,
     settings: Config,
     rng: Pcg64Mcg,
-    /// Present on a voter that has not left.
+    /// Voter and candidate of this node; `None` if the node is not a voter or has left.
     election: Option<Election>,
-    /// Present while this node is the leader.
+    /// Lenders of this node; `None` unless this node is the leader.
     lenders: Option<Lenders>,
     /// The counters of all processes; present on a voter if counters are configured.
     cluster_counters: Option<ClusterCounters>,
@@ -92,7 +93,7 @@
     /// The time of the next wake, as of the last event.
     expected_wake: Nanos,
     has_left: bool,
-    /// Whether a round is open in which this node, not yet the leader, may be elected.
+    /// True while a round of votes is open in which this node, not yet the leader, may be elected.
     is_campaigning: bool,
     event_counts: BTreeMap<&'static str, u64>,
 }
@@ -141,7 +142,7 @@
         &self.event_counts
     }
 
-    /// Whether this node is the leader now.
+    /// Returns whether this node holds the leader lease at `now` and thus may grant leases.
     pub fn is_leader(&self, now: Nanos) -> bool {
         self.lenders.is_some() && now < self.leader_until()
     }
@@ -307,8 +308,10 @@
         self.expected_wake = self.next_wake().max(now);
     }
 
-    /// Leaves the cluster: releases this node's leases, unless something is in flight, and a
-    /// leader's votes, without waiting for their expiry.
+    /// Leaves the cluster. If no call and no unit of a keyed quota is in flight, tells the leader
+    /// to free this node's units at once; otherwise the units are free when their leases expire. If
+    /// this node is the leader, releases the votes for it, so that another leader can be elected at
+    /// once.
     pub fn leave(&mut self, now: Nanos) {
         self.has_left = true;
         let is_idle = self.host.drop_leases(now);
@@ -332,7 +335,8 @@
         self.settings.budgets.iter().zip(lenders)
     }
 
-    /// Returns the lender of the keyed quotas while this node is the leader.
+    /// Returns the lender of the keyed quotas; `None` if this node is not the leader or there are
+    /// no keyed quotas.
     pub fn quota_lender(&self) -> Option<&QuotaLender> {
         self.lenders.as_ref()?.quotas.as_ref()
     }
--- a/crates/shared-state/src/shared_state/config.rs
+++ b/crates/shared-state/src/shared_state/config.rs
@@ -20,7 +20,7 @@
 /// Configuration of the shared state on one node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Identifies this process.
+    /// Key and incarnation of this process.
     pub me: ProcessId,
     /// Number of this node's zone.
     pub zone: u32,
@@ -28,9 +28,9 @@
     pub voters: Vec<u64>,
     /// Budgets on backend calls, in the same order throughout the process.
     pub budgets: Vec<Budget>,
-    /// Keyed quotas.
+    /// Keyed quotas that the leader of the cluster lends.
     pub quotas: Vec<KeyedQuota>,
-    /// Intervals of the requests for keys.
+    /// Intervals of the requests for units of keyed quotas.
     pub quota_timing: QuotaTiming,
     /// Memory limit of the keyed quotas' lender, in bytes.
     pub quota_lender_bytes: usize,
--- a/crates/shared-state/src/shared_state/counter_exchange.rs
+++ b/crates/shared-state/src/shared_state/counter_exchange.rs
@@ -1,5 +1,5 @@
-//! The exchange of counters: each process reports its counters to all voters, voters compare their
-//! versions and send each other the missing reports, and every node requests the totals from a
+//! The exchange of counters. Each process reports its counters to all voters. Voters compare which
+//! reports they have, and send each other the missing ones. Every node requests the totals from a
 //! voter.
 
 use super::{Host, SharedState};
@@ -77,7 +77,7 @@
         self.host.send(to, message);
     }
 
-    /// Sends another voter, by the progress that it reported, the counters that it lacks.
+    /// Sends another voter the counters that it lacks, judged by the progress that it reported.
     pub(super) fn send_missing_counters(&mut self, from: ProcessId, known: &KnownCounters) {
         let Some(counters) = &self.cluster_counters else {
             return;
--- a/crates/shared-state/src/shared_state/leases.rs
+++ b/crates/shared-state/src/shared_state/leases.rs
@@ -117,8 +117,8 @@
         self.host.receive_leases(now, requested_at, leases);
     }
 
-    /// Sends this node's request for units of keys to the leader. If no leader is known, the
-    /// request is dropped, and the borrower repeats it later.
+    /// Sends this node's request for units of keyed quotas to the leader. If no leader is known,
+    /// the request is dropped, and the borrower repeats it later.
     pub fn request_quota(&mut self, now: Nanos, request: QuotaRequest) {
         self.detect_suspension(now);
         match self.leader {
@@ -134,9 +134,9 @@
         }
     }
 
-    /// Answers a request for units of keys from a borrower, which may be this node. Unlike a lease
-    /// request, this one is never redirected: borrowers find the leader through their lease
-    /// requests.
+    /// Answers a request for units of keyed quotas from a borrower, which may be this node. Unlike
+    /// a lease request, such a request is never redirected: borrowers find the leader through their
+    /// lease requests.
     pub(super) fn answer_quota_request(
         &mut self,
         now: Nanos,
--- a/crates/shared-state/src/simulation.rs
+++ b/crates/shared-state/src/simulation.rs
@@ -53,7 +53,7 @@
 
 /// A simulated cluster.
 pub struct Simulation {
-    /// The configuration.
+    /// Configuration with which the cluster was created.
     pub config: SimulationConfig,
     /// Simulated time, in nanoseconds.
     pub now: Nanos,
--- a/crates/shared-state/src/simulation/config.rs
+++ b/crates/shared-state/src/simulation/config.rs
@@ -19,7 +19,7 @@
 /// Configuration of a simulation.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
-    /// Number of nodes.
+    /// Number of nodes, all of which start at 1 s of simulated time.
     pub nodes: usize,
     /// Number of zones over which the nodes are distributed.
     pub zones: usize,
@@ -49,9 +49,9 @@
 /// Result of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SimulationResult {
-    /// Number of calls made.
+    /// Number of calls that the strategy allowed.
     pub calls_made: u64,
-    /// Number of calls attempted.
+    /// Number of calls that the nodes attempted, allowed or not.
     pub calls_attempted: u64,
     /// Maximum excess over the limit, in units: in any second for a rate, at any time for calls in
     /// flight.
@@ -62,16 +62,16 @@
     pub messages: u64,
     /// Size of the messages sent, in bytes and including all headers.
     pub bytes: u64,
-    /// Number of units of keys that clients requested. A refused client retries twice, which is not
-    /// counted again.
+    /// Number of units of keyed quotas that clients requested. A refused client retries twice,
+    /// which is not counted again.
     pub keys_wanted: u64,
-    /// Number of units of keys admitted.
+    /// Number of units of keyed quotas admitted.
     pub keys_admitted: u64,
-    /// Number of units of keys refused in all attempts.
+    /// Number of units of keyed quotas refused in all attempts.
     pub keys_refused: u64,
     /// Maximum excess of any key over its limit, in units.
     pub max_key_over_limit: f64,
-    /// Number of units of keys admitted, by node.
+    /// Number of units of keyed quotas admitted, by node.
     pub keys_by_node: Vec<u64>,
     /// Number of calls made, by second of the simulated time.
     pub calls_by_second: Vec<u64>,
--- a/crates/shared-state/src/status/snapshot.rs
+++ b/crates/shared-state/src/status/snapshot.rs
@@ -18,7 +18,7 @@
     /// Maximum number of processes that run at the same time.
     #[prost(uint32, tag = "5")]
     pub max_nodes: u32,
-    /// Whether the budget applies only to retries.
+    /// True if only retries of failed calls need a unit of the budget.
     #[prost(bool, tag = "6")]
     pub retries_only: bool,
     /// Number of units that the node may use now.
@@ -73,7 +73,7 @@
     /// Name of the quota.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Units of each key per period or, without a period, in flight.
+    /// Limit on the units of each key: per period, or in flight if `period_ms` is 0.
     #[prost(uint32, tag = "2")]
     pub count: u32,
     /// Period in milliseconds; 0 for a limit on units in flight.
@@ -125,7 +125,7 @@
     /// Number of the node's calls in its last window of 2 s.
     #[prost(uint32, tag = "5")]
     pub calls: u32,
-    /// Number of these calls that failed.
+    /// Number of the node's calls in that window that failed.
     #[prost(uint32, tag = "6")]
     pub failed: u32,
     /// Number of other nodes with a conclusive report.
@@ -146,10 +146,10 @@
     /// Whether the member table of this node has no other member.
     #[prost(bool, tag = "12")]
     pub is_alone: bool,
-    /// Number of admitted calls.
+    /// Number of calls that the health of the service allowed.
     #[prost(uint64, tag = "13")]
     pub admitted: u64,
-    /// Number of withheld calls.
+    /// Number of calls that the health of the service refused.
     #[prost(uint64, tag = "14")]
     pub withheld: u64,
 }
@@ -166,7 +166,7 @@
     /// Number of units that the leader distributes.
     #[prost(uint32, tag = "3")]
     pub pool: u32,
-    /// Number of borrowers.
+    /// Number of borrowers of the budget that the leader knows.
     #[prost(uint32, tag = "4")]
     pub borrowers: u32,
 }
@@ -206,7 +206,7 @@
 /// The shared state as one node sees it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StatusSnapshot {
-    /// Name of the node.
+    /// Name of the node whose view the snapshot shows.
     #[prost(string, tag = "1")]
     pub node: String,
     /// State of the budgets at this node.
@@ -215,11 +215,12 @@
     /// State of the keyed quotas at this node.
     #[prost(message, repeated, tag = "3")]
     pub quotas: Vec<QuotaStatus>,
-    /// Time since the last grant of units of keys by a leader, in milliseconds; `None` before the
-    /// first grant.
+    /// Time since the last grant of units of keyed quotas by a leader, in milliseconds; `None`
+    /// before the first grant.
     #[prost(uint64, optional, tag = "4")]
     pub quota_grant_ms_ago: Option<u64>,
-    /// Whether no lender has answered the requests for units of keys for a whole lease duration.
+    /// Whether no lender has answered the requests for units of keyed quotas for a whole lease
+    /// duration.
     #[prost(bool, tag = "5")]
     pub is_quota_cut_off: bool,
     /// Health of the backend service, if one is configured.
@@ -237,7 +238,7 @@
     /// Member key of the leader, which is the hash of its name; 0 if the leader is unknown.
     #[prost(fixed64, tag = "10")]
     pub leader: u64,
-    /// Whether this node is the leader.
+    /// True if this node is the leader and thus grants leases.
     #[prost(bool, tag = "11")]
     pub is_leader: bool,
     /// Grants of this node as the leader, by budget; empty at other nodes.
@@ -256,7 +257,7 @@
     /// Number of retired processes, whose counters are kept as one sum.
     #[prost(uint32, tag = "16")]
     pub retired: u32,
-    /// Counters of the cluster.
+    /// Counters of the cluster: a row for the processes themselves and one for each operation.
     #[prost(message, repeated, tag = "17")]
     pub rows: Vec<CounterRowStatus>,
     /// Heavy keys in the last minute.
