--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -591,7 +591,7 @@
         (
             "name=\"b\" scope=\"fleet\" rate=\"9/s\" burst=\"40\" floor=\"1\" nodes-most=\"40\"",
             fleet,
-            "the floors of 40 nodes are 40, and nothing of the burst of 40 is left to lend",
+            "the floors of 40 nodes are 40, which leaves nothing of the burst of 40 to lend",
         ),
         (
             "name=\"b\" rate=\"9/s\" floor=\"1\"",
