--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -370,7 +370,7 @@
     let mut node =
         Node::start_with_config(program, &config, &["--settings", own.to_str().unwrap()]);
     assert_eq!((show(&by_old), show(&by_new)), (Some(0), Some(2)));
-    for (text, expected) in [("zz", "no key"), ("", "0 keys")] {
+    for (text, expected) in [("zz", "not valid hexadecimal"), ("", "0 keys")] {
         std::fs::write(&keys, text).unwrap();
         node.signal("-HUP");
         assert!(
