--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -350,7 +350,7 @@
         Verdict::Harm(_) => "harm".to_owned(),
         Verdict::Fine => "fine".to_owned(),
         Verdict::Wait(why) => format!("waits: {why}"),
-        Verdict::Unsure(why) => format!("no sign of harm, not certain yet: {why}"),
+        Verdict::Unsure(why) => format!("no evidence of harm, not conclusive yet: {why}"),
     }
 }
 
