--- a/crates/rollout/examples/compare.rs
+++ b/crates/rollout/examples/compare.rs
@@ -1,7 +1,7 @@
 //! Plays good and bad rollouts, by seed, under several methods of analysis and as an update of all
-//! nodes at once. Prints a table of how many good rollouts are stopped, how many bad ones pass, by
-//! the size of their harm, and what they cost. With a path, also draws the cost of the bad rollouts
-//! as SVG.
+//! nodes at once. Prints a table of how many good rollouts are stopped, how many bad rollouts pass
+//! by the size of their harm, and what the rollouts cost. With a path, also draws the cost of the
+//! bad rollouts as SVG.
 //!
 //! `cargo run --release -p madderpoint-rollout --example compare [rollouts] [nodes,nodes...]
 //! [plot.svg]`
--- a/crates/rollout/src/canary_analysis.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -39,7 +39,8 @@
     /// The canary cohort does worse. Holds the comparisons that show harm, strongest evidence
     /// first.
     Harm(Vec<Comparison>),
-    /// The canary cohort does not do worse by the margin, at the stated error probabilities.
+    /// Harm by the margin is ruled out for the canary cohort, at the error probabilities
+    /// [`FALSE_STOP`] and [`MISSED`].
     Fine,
     /// The data does not suffice for a verdict yet. Holds the reason.
     Wait(String),
@@ -47,16 +48,16 @@
     Unsure(String),
 }
 
-/// A verdict with the figures that led to it.
+/// A verdict with the comparisons, requests and nodes that led to the verdict.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnalysisResult {
     /// The conclusion from the comparisons.
     pub verdict: Verdict,
     /// All comparisons, strongest evidence first.
     pub findings: Vec<Comparison>,
-    /// Number of requests in this stage: canary, baseline.
+    /// Number of requests that arrived at the canary nodes and at the baseline nodes in this stage.
     pub sample: [u64; 2],
-    /// Number of nodes that were compared: canary, baseline.
+    /// Number of canary nodes and of baseline nodes that were compared.
     pub nodes: [usize; 2],
 }
 
@@ -86,7 +87,7 @@
     }
 }
 
-/// Analyses a stage by the counts that have been recorded so far.
+/// Analyses a stage by the counts recorded in `record` so far, and the crashes in `crashes`.
 pub fn analyse(
     record: &CohortMetrics,
     plan: &Plan,
@@ -110,7 +111,8 @@
         findings.extend(compare_trends(record));
     }
     let tests = findings.len().max(1) as f64;
-    // The methods differ only in how they compare shares; all of them count crashes alike.
+    // The methods differ only in how they compare shares; all of them test the counts of crashes in
+    // the same way.
     findings.extend(compare_counts(record, crashes));
     findings.sort_by(|a, b| b.evidence.total_cmp(&a.evidence));
     let sample = [
@@ -151,8 +153,8 @@
 }
 
 /// Rule: a comparison shows harm if chance alone would rarely give such evidence and the harm is at
-/// least half of the margin: smaller harm is ignored, however certain. Counts have no margin; their
-/// two tests have a false-stop probability of their own.
+/// least half of the margin: smaller harm is ignored, however strong the evidence. Counts have no
+/// margin; the two tests of counts share a separate [`FALSE_STOP`].
 fn is_harm(finding: &Comparison, method: AnalysisMethod, tests: f64, has_sample: bool) -> bool {
     let required_for_shares = match method {
         AnalysisMethod::Fixed => 1.0,
@@ -173,9 +175,9 @@
         && (!is_plain || has_sample)
 }
 
-/// Rule: harm beyond the margin is ruled out for each comparison that could show it. The margin is
-/// widened while fewer than half of the compared nodes run the version. Only the sampling error
-/// enters the bound: more requests would not reduce the differences between nodes.
+/// Rule: harm beyond the margin is ruled out for each comparison that could show such harm. The
+/// margin is widened while fewer than half of the compared nodes run the version. Only the sampling
+/// error enters the bound: more requests would not reduce the differences between nodes.
 fn rule_out_harm(findings: &[Comparison], nodes: [usize; 2], method: AnalysisMethod) -> Verdict {
     let canary_share = nodes[0] as f64 / (nodes[0] + nodes[1]).max(1) as f64;
     let widening = (0.5 / canary_share.max(1e-6)).sqrt().max(1.0);
@@ -183,8 +185,8 @@
         finding.margin > 0.0
             && upper_bound(finding.harm, finding.chance.powi(2)) > finding.margin * widening
     };
-    // Rare events cannot be distinguished from chance: they must not hold up a version that is fine
-    // by all other comparisons.
+    // Rare events cannot be distinguished from chance: comparisons of rare events must not hold up
+    // a version that is fine by all other comparisons.
     let can_show = |finding: &&Comparison| finding.chance < finding.margin;
     let unsure = || {
         findings
--- a/crates/rollout/src/canary_analysis/comparison.rs
+++ b/crates/rollout/src/canary_analysis/comparison.rs
@@ -13,7 +13,8 @@
 /// Number of 10 s windows in an hour, the time to which trends are extrapolated.
 const HOUR: f64 = 360.0;
 
-/// Typical deviation of a gauge from its trend, as a share of the gauge's value.
+/// Typical deviation of a gauge from the line fitted to the gauge, as a fraction of the gauge's
+/// value.
 const GAUGE_DEVIATION: f64 = 0.01;
 
 /// Number of 10 s windows in a day.
@@ -34,39 +35,43 @@
 /// exist to be compared with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnalysisMethod {
-    /// Compares nodes, each adjusted by its own metrics before the rollout.
+    /// Compares the nodes' shares of harmful outcomes, each adjusted by the same node's share
+    /// before the rollout.
     Nodes,
-    /// Compares nodes without adjusting them by their past.
+    /// Compares the nodes' shares of harmful outcomes, not adjusted by the shares before the
+    /// rollout.
     NodesWithoutHistory,
-    /// Reports harm if the canary's share exceeds the baseline's by more than the margin.
+    /// Reports harm if the canary's share of harmful outcomes exceeds the baseline's by more than
+    /// the margin.
     Fixed,
     /// Uses a mixture likelihood ratio that treats requests as independent.
     IndependentRequests,
-    /// Runs a rank test on nodes at each window.
+    /// Ranks the nodes by their shares of harmful outcomes at each window (Mann-Whitney U test).
     Ranks,
 }
 
 /// One comparison of the cohorts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comparison {
-    /// The number of the operation; `None` for metrics of the process.
+    /// The number of the compared operation; `None` for memory, descriptors and counts.
     pub operation: Option<u32>,
-    /// The name of the compared metric.
+    /// The name of the compared metric or count, as shown to operators.
     pub what: &'static str,
-    /// The value at the canary nodes.
+    /// The value at the canary nodes: a share of harmful outcomes, an hourly growth relative to the
+    /// mean, or a count.
     pub new: f64,
     /// The value expected at the canary nodes from the baseline nodes in the same windows; for
     /// counts and trends the baseline's value.
     pub old: f64,
-    /// How much worse the canary does; negative if it does better.
+    /// The excess of the canary's value over the expected one; negative if the canary does better.
     pub harm: f64,
-    /// The standard error of the harm.
+    /// The standard error of `harm`.
     pub error: f64,
-    /// The part of the error that is sampling error; the rest is the difference between nodes.
+    /// The sampling error in `error`; the rest of `error` comes from differences between nodes.
     pub chance: f64,
-    /// Evidence for harm as a likelihood ratio.
+    /// Evidence for harm, as a likelihood ratio against no harm.
     pub evidence: f64,
-    /// The harm that is tolerated; 0 for counts.
+    /// The largest tolerated `harm`; 0 for counts.
     pub margin: f64,
 }
 
@@ -92,15 +97,16 @@
 /// Crashes in a stage. The coordinator counts them, as a crashed node cannot.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CrashCounts {
-    /// Number of crashes on trial, and of crashes of the other nodes.
+    /// Number of crashes of nodes that run the new version on trial, and of the other nodes.
     pub crashes: [u64; 2],
-    /// Number of nodes in the stage, and of the other nodes.
+    /// Number of nodes that the stage includes, and of the other nodes.
     pub nodes: [u64; 2],
     /// The duration over which the crashes were counted, in 10 s windows.
     pub windows: f64,
 }
 
-/// Compares the cohorts on one operation by one metric; `None` where a cohort has too few requests.
+/// Compares the cohorts on one operation by one metric. Returns `None` if no node of a cohort has
+/// enough requests.
 pub(super) fn compare_metric(
     record: &CohortMetrics,
     plan: &Plan,
@@ -158,7 +164,7 @@
 }
 
 /// Compares how fast memory and descriptors grow at the nodes of the two cohorts, extrapolated to
-/// an hour, as a share of their mean.
+/// an hour, as a fraction of the mean memory or number of descriptors.
 pub(super) fn compare_trends(record: &CohortMetrics) -> Vec<Comparison> {
     let mut findings = Vec::new();
     for (what, trend) in [
@@ -191,7 +197,7 @@
             mean(new.iter().map(|s| s.value)),
             mean(old.iter().map(|s| s.value)),
         );
-        // Growth of a fifth within an hour is harm.
+        // Growth by a fifth of the mean within an hour is harm.
         let margin = 0.2;
         if let Some((harm, variance)) = difference(&new, &old, spread(&old, margin)) {
             let evidence = mixture(harm, variance, margin);
@@ -215,7 +221,7 @@
 
 /// Compares the counts of crashes and violated invariants, which are Poisson distributed by node
 /// and time. The expected rate is that of the baseline in the same time plus one event per node and
-/// day, so that it is never zero.
+/// day, so that the expected rate is never zero.
 pub(super) fn compare_counts(record: &CohortMetrics, crashes: &CrashCounts) -> Vec<Comparison> {
     let [new_time, old_time] = crashes
         .nodes
--- a/crates/rollout/src/canary_analysis/evidence.rs
+++ b/crates/rollout/src/canary_analysis/evidence.rs
@@ -6,11 +6,11 @@
 /// Probability of passing a stage with a version that harms by the margin, for each metric.
 pub const MISSED: f64 = 0.05;
 
-/// Sizes of harm that the mixture covers, as multiples of the margin.
+/// Sizes of harm that the mixture likelihood ratio covers, as multiples of the margin.
 const SIZES: [f64; 3] = [1.0, 4.0, 16.0];
 
-/// Returns the likelihood ratio of a difference of `harm` between harm of `size` or up to 16 times
-/// that, and no harm; one-sided.
+/// Returns the likelihood ratio of the difference `harm` for real harm of 1, 4 or 16 times `size`
+/// against no harm; 0 if `harm` is not positive.
 pub(super) fn mixture(harm: f64, variance: f64, size: f64) -> f64 {
     if harm <= 0.0 {
         return 0.0;
@@ -32,7 +32,8 @@
     harm + quantile * variance.sqrt()
 }
 
-/// Returns the probability that the new nodes' shares rank this high if the cohorts do not differ.
+/// Returns the probability that the new nodes' shares of harmful outcomes rank this high if the
+/// cohorts do not differ.
 pub(super) fn ranks(new: &[NodeShare], old: &[NodeShare]) -> f64 {
     // The normal approximation of the Mann-Whitney U test with continuity correction; a tie counts
     // as one half.
--- a/crates/rollout/src/canary_analysis/shares.rs
+++ b/crates/rollout/src/canary_analysis/shares.rs
@@ -1,5 +1,5 @@
-//! Each node's share in one metric with its sampling variance, and the difference between the
-//! cohorts.
+//! Each node's share of harmful outcomes in one metric, the sampling variance of that share, and
+//! the difference between the cohorts.
 
 use crate::cohort_metrics::{Cohort, CohortMetrics, Metric, NodeHistory, NodeMetric};
 use std::collections::BTreeMap;
@@ -7,10 +7,11 @@
 /// Minimum number of requests of an operation at a node for the node to be compared.
 const MIN_NODE_REQUESTS: u64 = 20;
 
-/// The weight of the assumed spread between nodes, as a number of nodes.
+/// The weight of the assumed standard deviation between nodes, as a number of nodes.
 const PRIOR_NODES: f64 = 2.0;
 
-/// A node's share of harmful outcomes, less the expected share, with its sampling variance.
+/// A node's share of harmful outcomes less the expected share, and the sampling variance of the
+/// difference.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NodeShare {
     pub(super) zone: u32,
@@ -26,7 +27,8 @@
     variance: f64,
 }
 
-/// Returns the shares of a cohort's nodes, each less the share that was expected of the node.
+/// Returns the shares of harmful outcomes of a cohort's nodes, each less the share that the
+/// baseline rates predict for the node.
 pub(super) fn shares(
     record: &CohortMetrics,
     cohort: Cohort,
@@ -43,9 +45,9 @@
         (bad + part.bad, all + part.all)
     });
     let common = bad as f64 / (all as f64).max(1.0);
-    // Binomial variance at the likely share; half an event is added so that no share has a variance
-    // of zero. The likely share is at least the cohort's own: few and rare events are not normally
-    // distributed.
+    // Binomial variance at the likely share of harmful outcomes; half an event is added so that no
+    // share has a variance of zero. The likely share is at least the share of the whole cohort,
+    // because few and rare events are not normally distributed.
     let sampling_variance = |part: &NodeMetric, likely: f64| {
         let likely = likely.clamp(0.0, 1.0) * part.count as f64 + 0.5;
         let likely = likely / (part.count as f64 + 1.0);
@@ -81,7 +83,8 @@
         .collect()
 }
 
-/// Returns the share of a whole cohort and its expected share; `None` without requests.
+/// Returns the share of harmful outcomes of a whole cohort and the expected share; `None` if the
+/// cohort had no requests.
 pub(super) fn pooled(
     record: &CohortMetrics,
     cohort: Cohort,
@@ -107,11 +110,11 @@
     }
 }
 
-/// Subtracts from each share what the node's past predicts: machines differ, and a slow one was
-/// slow before the rollout. The past's distance from the mean of its zone is subtracted as far as
-/// it is a property of the node rather than chance (the best linear prediction from the two
-/// variances; CUPED uses one slope for all nodes, while here a node with little history keeps more
-/// of its share).
+/// Subtracts from each node's share what the node's share before the rollout predicts: machines
+/// differ, and a slow machine was slow before the rollout. The distance of the earlier share from
+/// the mean of the zone is subtracted to the extent that the distance is a property of the node
+/// rather than chance. This is the best linear prediction from the two variances. CUPED uses one
+/// slope for all nodes, while here less is subtracted from the share of a node with little history.
 pub(super) fn adjust(new: &mut [NodeShare], old: &mut [NodeShare]) {
     let mut zones: BTreeMap<u32, Vec<PriorShare>> = BTreeMap::new();
     for share in new.iter().chain(old.iter()) {
@@ -134,7 +137,8 @@
     let between = (squares - chance).max(0.0) / degrees;
     for share in new.iter_mut().chain(old) {
         if let Some(past) = share.before.filter(|_| zones[&share.zone].len() > 1) {
-            // The distance of an outlier is its own even if the other nodes do not differ.
+            // An outlier's distance is a property of that node even if the other nodes do not
+            // differ.
             let distance = past.value - centre(share.zone);
             let outlier = 1.0 - past.variance / (distance * distance).max(1e-12);
             share.value -= (between / (between + past.variance)).max(outlier) * distance;
@@ -142,8 +146,9 @@
     }
 }
 
-/// Returns the standard deviation between baseline nodes of the same zone beyond chance. Few nodes
-/// show little of it, so [`PRIOR_NODES`] more are assumed to differ by half of the margin.
+/// Returns the standard deviation, beyond chance, of the shares of baseline nodes in the same zone.
+/// A few nodes allow only a rough estimate, so [`PRIOR_NODES`] more nodes are assumed to differ by
+/// half of the margin.
 pub(super) fn spread(old: &[NodeShare], margin: f64) -> f64 {
     let mut zones: BTreeMap<u32, Vec<&NodeShare>> = BTreeMap::new();
     old.iter()
@@ -164,8 +169,8 @@
     (((squares - chance).max(0.0) + prior) / (degrees + PRIOR_NODES)).sqrt()
 }
 
-/// Returns by how much the canary exceeds the baseline, combined over the zones, and the variance
-/// of that difference; `None` if either cohort is empty.
+/// Returns by how much the canary's share of harmful outcomes exceeds the baseline's, combined over
+/// the zones, and the variance of that difference; `None` if either cohort is empty.
 pub(super) fn difference(new: &[NodeShare], old: &[NodeShare], spread: f64) -> Option<(f64, f64)> {
     let mut zones: BTreeMap<u32, (Vec<NodeShare>, Vec<NodeShare>)> = BTreeMap::new();
     new.iter()
@@ -179,8 +184,8 @@
     let value = |shares: &[NodeShare]| mean(shares.iter().map(|share| share.value));
     let (mut sum, mut weights) = (0.0, 0.0);
     for (new, same_zone) in zones.values().filter(|(new, _)| !new.is_empty()) {
-        // A zone without baseline nodes is compared with those of all zones, which also differ by
-        // zone: the spread is doubled.
+        // A zone without baseline nodes is compared with the baseline nodes of all zones. Those
+        // nodes also differ by zone, so the spread is doubled.
         let (against, spread_factor) = if same_zone.is_empty() {
             (old, 2.0)
         } else {
--- a/crates/rollout/src/canary_analysis/tests.rs
+++ b/crates/rollout/src/canary_analysis/tests.rs
@@ -15,9 +15,10 @@
 
 struct SimulatedCluster {
     rng: Pcg64Mcg,
-    /// Share of errors of each node apart from the new version's harm.
+    /// Share of requests that fail at each node, apart from the failures that the new version
+    /// causes.
     error_shares: Vec<f64>,
-    /// Number of nodes, counted from the first one, that run the new version.
+    /// Number of nodes, counted from the first node, that run the new version.
     new: usize,
 }
 
--- a/crates/rollout/src/chunks.rs
+++ b/crates/rollout/src/chunks.rs
@@ -13,10 +13,10 @@
 pub const CHUNKS_PER_REQUEST: u32 = 8;
 /// Time after which missing chunks are requested again.
 const CHUNK_TIMEOUT: Nanos = 400 * MILLISECOND;
-/// Number of complete contents with a wrong digest after which the fetch is given up.
+/// Number of complete contents with a wrong digest after which a fetch is given up.
 const MAX_CORRUPT_FETCHES: u32 = 3;
 
-/// Returns the SHA-256 digest of a content.
+/// Returns the SHA-256 digest of `content`, as recorded in [`Rollout::digest`].
 pub fn digest(content: &[u8]) -> [u8; 32] {
     let mut digest = [0; 32];
     digest.copy_from_slice(ring::digest::digest(&ring::digest::SHA256, content).as_ref());
@@ -34,7 +34,7 @@
     (from < content.len()).then(|| &content[from..content.len().min(from + CHUNK_BYTES)])
 }
 
-/// A content that is being fetched.
+/// A fetch of a rollout's content, chunk by chunk, from other nodes.
 #[derive(Clone, Debug)]
 pub struct ChunkFetch {
     /// The rollout whose content is fetched.
@@ -46,17 +46,18 @@
     corrupt_fetches: u32,
 }
 
-/// Progress of a fetch.
+/// Progress of a [`ChunkFetch`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FetchProgress {
-    /// Chunks are missing.
+    /// At least one chunk has not been received yet.
     Incomplete,
     /// The whole content; its digest matches the rollout's digest.
     Complete(Vec<u8>),
     /// All chunks were received, but the digest does not match: the content is fetched again, or
     /// the fetch is given up.
     Corrupt {
-        /// Whether the fetch is given up.
+        /// True after [`MAX_CORRUPT_FETCHES`] complete contents with a wrong digest; false if the
+        /// content is fetched again.
         given_up: bool,
     },
 }
--- a/crates/rollout/src/cohort_metrics.rs
+++ b/crates/rollout/src/cohort_metrics.rs
@@ -2,8 +2,8 @@
 //! the canary analysis.
 //!
 //! The input is the counts of each node in each window. Windows before the rollout are recorded as
-//! well: machines differ, and the past of a node shows how slow or faulty the node is regardless of
-//! the new version.
+//! well: machines differ, and a node's counts before the rollout show how slow or faulty the node
+//! is regardless of the new version.
 
 mod baseline;
 mod counts;
@@ -19,23 +19,23 @@
 pub use trend::LinearTrend;
 
 /// Maximum number of nodes with metrics of their own at either end of the rollout's node order: the
-/// nodes that run the new version first, and those that run it last. The other nodes only count
-/// towards the baseline rates and the history.
+/// nodes that run the new version first, and those that run it last. The counts of the other nodes
+/// only enter the baseline rates and [`CohortMetrics::history`].
 pub const MAX_NODES_EACH_END: usize = 300;
 
 /// Maximum number of operations of a node that are compared, each separately.
 pub const MAX_OPERATIONS: usize = 16;
 
-/// Number of windows of both cohorts that are kept for tables and plots.
+/// Maximum number of windows in [`CohortMetrics::history`].
 const MAX_HISTORY: usize = 720;
 
 /// Approximate memory of one node's metrics with eight operations, in bytes.
 pub const NODE_BYTES: usize = 4 << 10;
 
-/// Metrics of one node.
+/// Metrics of one node before and during a rollout, which the canary analysis compares.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeHistory {
-    /// Number of the node's zone.
+    /// Number of the node's zone; the node is compared with nodes of the same zone.
     pub zone: u32,
     /// Cohort of the node in its last window; `None` before the first one.
     pub cohort: Option<Cohort>,
@@ -49,17 +49,17 @@
     pub descriptors: LinearTrend,
     /// Resident memory in KiB before the rollout began.
     pub memory_before: LinearTrend,
-    /// Number of invariants violated in this stage.
+    /// Number of invariants that the node reported as violated in this stage.
     pub invariants: u64,
-    /// Number of windows counted in this stage.
+    /// Number of windows whose counts are in `after`.
     pub windows: u32,
     /// Number of windows since the node entered its cohort.
     windows_in_cohort: u32,
 }
 
 impl NodeHistory {
-    /// Moves the node to a cohort and discards the metrics of its previous cohort. The first window
-    /// in the canary cohort is mixed and counts for neither cohort.
+    /// Moves the node to a cohort and discards the metrics of the previous cohort. The first window
+    /// in the canary cohort has counts of both versions and is used for neither cohort.
     fn enter(&mut self, cohort: Cohort) {
         self.cohort = Some(cohort);
         (self.after, self.windows, self.windows_in_cohort) = (BTreeMap::new(), 0, 0);
@@ -95,28 +95,28 @@
 /// Counts of both cohorts in one window, for tables and plots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CohortPoint {
-    /// Number of the window.
+    /// Number of the window: Unix time divided by the window length.
     pub window: u64,
     /// Stage of the rollout in the window, from 1.
     pub stage: u32,
-    /// Number of nodes: baseline, canary.
+    /// Number of baseline nodes and of canary nodes.
     pub nodes: [u32; 2],
-    /// Sums over all operations: baseline, canary.
+    /// Counts of the baseline nodes and of the canary nodes, summed over all operations.
     pub cells: [OperationCounts; 2],
-    /// Mean resident memory in KiB: baseline, canary.
+    /// Mean resident memory of the baseline nodes and of the canary nodes, in KiB.
     pub memory_kb: [f64; 2],
 }
 
 /// Metrics of the nodes of both cohorts during one rollout.
 #[derive(Clone, Debug, Default)]
 pub struct CohortMetrics {
-    /// The rollout that is analysed.
+    /// The rollout that the metrics belong to.
     pub rollout: RolloutId,
     /// Version that the canary cohort runs.
     pub version: Version,
     /// Version that the baseline cohort runs.
     pub base: Version,
-    /// Metrics of the nodes, by node key.
+    /// Metrics of the nodes at either end of the rollout's node order, by node key.
     pub nodes: BTreeMap<u64, NodeHistory>,
     /// Latency above which a request is slow, by operation, in tenths of a millisecond.
     pub slow_from: BTreeMap<u32, u32>,
@@ -167,7 +167,8 @@
         Some(history)
     }
 
-    /// Records the windows before the rollout, as far as nodes ran the base in them.
+    /// Records the windows before the rollout. Samples of nodes that did not run the base for the
+    /// whole window are left out.
     pub fn begin(&mut self, windows: &[(u64, Vec<WindowSample>)]) {
         let mut on_base = |samples: &Vec<WindowSample>| -> Vec<WindowSample> {
             let is_on_base = |sample: &&WindowSample| self.ran_base(sample) && !sample.just_started;
@@ -243,8 +244,8 @@
             .collect()
     }
 
-    /// Learns the slow threshold of operations that have none yet from the latencies of a baseline
-    /// node.
+    /// Sets the slow threshold of operations that have no threshold yet, from the latencies of a
+    /// baseline node.
     fn learn(&mut self, sample: &WindowSample) {
         for (operation, (_, latencies)) in sample.operations.iter().take(MAX_OPERATIONS) {
             if !self.slow_from.contains_key(operation) {
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Records the samples of a window since the rollout began.
+    /// Records the nodes' samples of a window that ended after the rollout began.
     pub fn record_window(&mut self, window: u64, samples: &[WindowSample]) {
         if self.first_window == 0 {
             self.first_window = window;
@@ -329,7 +330,7 @@
         }
     }
 
-    /// Returns the stage that is recorded.
+    /// Returns the number of the stage whose metrics are recorded, counted from 1.
     pub fn stage(&self) -> u32 {
         self.stage
     }
--- a/crates/rollout/src/cohort_metrics/baseline.rs
+++ b/crates/rollout/src/cohort_metrics/baseline.rs
@@ -1,22 +1,23 @@
-//! Rates of the baseline nodes in a window, and the latency from which a request is slow.
+//! Rates of harmful outcomes of the baseline nodes in a window, and the latency from which a
+//! request is slow.
 
 use super::counts::{Metric, NodeMetric, NodeMetrics, OperationCounts, WindowSample};
 use std::collections::BTreeMap;
 
-/// Number of latencies of an operation that are needed to set its slow threshold.
+/// Number of latencies of an operation that are needed to set the operation's slow threshold.
 const MIN_LATENCIES: u64 = 100;
 
 /// Margin above the 90th percentile from which a request is slow, in tenths of a millisecond; the
-/// margin is at least a tenth of the percentile. Steps between the buckets of the latency histogram
-/// must not look like harm.
+/// margin is at least a tenth of the percentile. The margin keeps the bucket widths of the latency
+/// histogram from looking like harm.
 pub(super) const SLOW_MARGIN: u32 = 20;
 
-/// Counts by operation.
+/// Counts of a node in a window, each with the number of the operation.
 pub(super) type OperationCountsList = Vec<(u32, OperationCounts)>;
 
-/// Rates of the nodes that run the base in one window, by zone, operation and metric. A jump of
-/// traffic or a fault of a zone is part of these rates, and so does not show as a difference
-/// between the cohorts.
+/// Rates of harmful outcomes of the nodes that run the base in one window, by zone, operation and
+/// metric. A jump of traffic or a fault of a zone is part of these rates, and so does not show as a
+/// difference between the cohorts.
 #[derive(Debug, Default)]
 pub(super) struct BaselineRates {
     zones: BTreeMap<(u32, u32), [[u64; 2]; 5]>,
@@ -43,8 +44,8 @@
     }
 
     /// Returns the metrics of a node together with the values expected from the baseline rates of
-    /// its zone, or of all zones if the zone has none. A metric without any baseline rate is left
-    /// out.
+    /// the node's zone, or of all zones if the zone has no baseline rates. A metric without any
+    /// baseline rate is left out.
     pub(super) fn parts(&self, zone: u32, operation: u32, cell: &OperationCounts) -> NodeMetrics {
         let mut parts = NodeMetrics {
             arrived: cell.arrived,
--- a/crates/rollout/src/cohort_metrics/counts.rs
+++ b/crates/rollout/src/cohort_metrics/counts.rs
@@ -1,4 +1,4 @@
-//! Counts of a node in a window, and the metrics that are derived from them.
+//! Counts of a node in a window, and the metrics that are derived from these counts.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,8 @@
 /// requests.
 pub type Latencies = Vec<(u32, u32)>;
 
-/// A metric of an operation. Each is the harmful part of a total, so that less is better.
+/// A metric of an operation. Each metric is the harmful part of a total, so that a lower value is
+/// better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Metric {
     /// Requests that failed, of those that arrived.
@@ -15,10 +16,11 @@
     Rejected,
     /// Requests past their latency objective, of those that succeeded.
     Late,
-    /// Priority weight that was not earned, of the priority weight of the requests that arrived.
+    /// Priority weight of requests that did not succeed, of the priority weight of the requests
+    /// that arrived.
     Lost,
-    /// Requests that took longer than the 90th percentile of the base by more than 2 ms and by more
-    /// than a tenth of it, of those that succeeded.
+    /// Requests that succeeded but took longer than the 90th percentile of the base, by more than 2
+    /// ms and by more than a tenth of that percentile, of those that succeeded.
     Slow,
 }
 
@@ -32,7 +34,7 @@
         Metric::Slow,
     ];
 
-    /// Returns the harmful part and the total it is a part of, and the number of requests counted.
+    /// Returns the harmful part and the total, and the number of requests that entered the total.
     pub(super) fn of(self, cell: &OperationCounts) -> ([u64; 2], u64) {
         match self {
             Metric::Errored => ([cell.errored, cell.arrived], cell.arrived),
@@ -62,13 +64,14 @@
 /// baseline nodes of its zone in the same windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeMetric {
-    /// Harmful part of `all`, in the unit of the metric.
+    /// Harmful part of `all`, in the unit of the metric: requests, or thousandths of priority
+    /// weight.
     pub bad: u64,
     /// Total that `bad` is a part of.
     pub all: u64,
-    /// Number of requests that were counted.
+    /// Number of requests that entered `all`; differs from `all` if the unit is priority weight.
     pub count: u64,
-    /// Value of `bad` that is expected from the baseline rates.
+    /// Value of `bad` that the baseline rates of the same windows predict.
     pub expected: f64,
 }
 
@@ -84,15 +87,15 @@
 /// Metrics of one operation at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeMetrics {
-    /// Number of requests that arrived.
+    /// Number of requests that arrived in the recorded windows.
     pub arrived: u64,
-    /// Number of requests that succeeded.
+    /// Number of requests that succeeded in the recorded windows.
     pub succeeded: u64,
     pub(super) parts: [NodeMetric; 5],
 }
 
 impl NodeMetrics {
-    /// Returns one metric.
+    /// Returns the values of `metric`, summed over the recorded windows.
     pub fn of(&self, metric: Metric) -> &NodeMetric {
         &self.parts[metric as usize]
     }
@@ -110,9 +113,9 @@
 /// Counts of one operation at a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OperationCounts {
-    /// Number of requests that arrived.
+    /// Number of requests that arrived, whatever their outcome.
     pub arrived: u64,
-    /// Number of requests that succeeded.
+    /// Number of requests that succeeded, on time or late.
     pub succeeded: u64,
     /// Number of requests that were rejected.
     pub rejected: u64,
@@ -126,12 +129,12 @@
     pub asked: u64,
     /// Number of requests whose latency is known.
     pub timed: u64,
-    /// Number of these that were slow.
+    /// Number of the requests in `timed` that were slower than the slow threshold of the operation.
     pub slow: u64,
 }
 
 impl OperationCounts {
-    /// Adds the counts of another node or window.
+    /// Adds the counts of the same operation from another node or window.
     pub fn add(&mut self, other: &OperationCounts) {
         self.arrived += other.arrived;
         self.succeeded += other.succeeded;
@@ -150,11 +153,12 @@
 pub struct WindowSample {
     /// Key of the node.
     pub node: u64,
-    /// Number of the node's zone.
+    /// Number of the node's zone; rates are compared within a zone first.
     pub zone: u32,
-    /// Hash of the version that the node ran.
+    /// Hash of the version that the node ran, which determines the node's cohort.
     pub version_hash: u64,
-    /// Whether the node's process is still warming up after its start.
+    /// True while the node's process is warming up after its start. Of such a window only the
+    /// violated invariants are analysed.
     pub just_started: bool,
     /// Counts and latencies, by operation.
     pub operations: BTreeMap<u32, (OperationCounts, Latencies)>,
--- a/crates/rollout/src/cohort_metrics/tests.rs
+++ b/crates/rollout/src/cohort_metrics/tests.rs
@@ -88,7 +88,8 @@
 }
 
 /// The error rate of all nodes rises in some windows, and one canary node errs more than the
-/// others. Its expected errors follow the baseline nodes of the same zone and window.
+/// others. The expected errors of the canary node follow the baseline nodes of the same zone and
+/// window.
 #[test]
 fn expected_errors_follow_the_baseline_nodes_of_the_same_window_and_zone() {
     let mut metrics = metrics();
--- a/crates/rollout/src/cohort_metrics/trend.rs
+++ b/crates/rollout/src/cohort_metrics/trend.rs
@@ -1,9 +1,9 @@
-//! A straight line fitted to a gauge over windows.
+//! A straight line fitted to the values of a gauge, such as resident memory, over windows.
 
 /// Sums for a least-squares line through the values of a gauge.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinearTrend {
-    /// Number of values.
+    /// Number of values that were added.
     pub count: f64,
     sum_x: f64,
     sum_y: f64,
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -1,14 +1,15 @@
 //! Coordinates a rollout: one voter polls all nodes, analyses the stage by the recorded counts, and
 //! has the voters agree on the next step. Safety does not depend on there being only one
-//! coordinator: see [`crate::paxos`]. Its other state is not replicated: the next coordinator
-//! collects it again.
+//! coordinator: see [`crate::paxos`]. A coordinator's other state is not replicated: the next
+//! coordinator collects the reports and metrics again.
 //!
 //! **Why advancing needs a majority and ending does not.** A step forward gives the new version to
-//! more nodes, so it must not be taken twice or on both sides of a network split: it needs an
-//! agreement of the voters, preceded by reports from more than half of the last agreed cluster
-//! size, none of which knows of an end (`Coordinator::check_quorum`). An end only withdraws the new
-//! version, and ending twice has the same effect as ending once: any node may end a rollout alone,
-//! and [`crate::Rollout::merge`] makes the end win everywhere.
+//! more nodes, so the step must not be taken twice or on both sides of a network split: an
+//! agreement of the voters is required. Before that, more than half of the last agreed cluster size
+//! must have sent reports, and none of these reports may know of an end
+//! (`Coordinator::check_quorum`). An end only withdraws the new version, and ending twice has the
+//! same effect as ending once: any node may end a rollout alone, and [`crate::Rollout::merge`]
+//! makes the end win everywhere.
 //!
 //! `start.rs` has the conditions for the first stage and `advance.rs` those for each further stage,
 //! one function for each rule.
@@ -32,13 +33,13 @@
 
 /// Minimum time between two polls of all nodes.
 const POLL_INTERVAL: Nanos = 2 * SECOND;
-/// Time between two polls for each node of the cluster; applies where the sum exceeds
-/// [`POLL_INTERVAL`].
+/// Poll interval for each node of the cluster; applies if the product with the number of nodes
+/// exceeds [`POLL_INTERVAL`].
 const POLL_INTERVAL_PER_NODE: Nanos = 5 * MILLISECOND;
 /// How long the agreed cluster size remains the lower bound of the cluster size.
 const ELECTORATE_LIFETIME: Nanos = 3600 * SECOND;
 
-/// Numbers of nodes by their progress in a stage.
+/// Numbers of nodes that are present, in a stage, and on the new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageCounts {
     /// Number of present nodes that run the new version.
@@ -49,7 +50,7 @@
     pub present: usize,
 }
 
-/// Samples of all nodes by window, each with the window's number.
+/// Samples of all nodes by window, with the number of each window.
 pub type Windows = Vec<(u64, Vec<WindowSample>)>;
 
 /// The coordinator's next step for a rollout.
@@ -57,13 +58,13 @@
 pub enum Step {
     /// Do nothing yet. Holds the reason.
     Wait(String),
-    /// Have the voters agree on this proposal.
+    /// Begin a round of voting on this proposal.
     Propose(Proposal),
     /// End a rollout.
     End {
-        /// The rollout that ends.
+        /// The rollout to end.
         rollout: RolloutId,
-        /// The outcome to set.
+        /// The outcome to set, nearer to safety than the present one.
         outcome: Outcome,
         /// The reason, as shown to operators.
         why: String,
@@ -89,12 +90,12 @@
     End {
         /// The rollout to end.
         rollout: RolloutId,
-        /// The outcome that is set.
+        /// The outcome to set, nearer to safety than the present one.
         outcome: Outcome,
         /// The reason, as shown to operators.
         why: String,
     },
-    /// Apply a proposal that the voters agreed on.
+    /// Apply a proposal that a majority of the voters agreed on.
     Agreed(Proposal),
 }
 
@@ -116,39 +117,39 @@
     poll: u32,
     /// When the last poll was sent.
     polled: Nanos,
-    /// The last report of each node, by the node's key.
+    /// The last report of each member, by the node's key.
     reports: BTreeMap<u64, ReceivedReport>,
     /// The round of voting in progress.
     round: Option<PaxosRound>,
-    /// The highest ballot seen so far.
+    /// The highest ballot seen in replies; the next round takes a higher one.
     highest: Ballot,
-    /// The earliest time for the next round.
+    /// The earliest time for the next round of voting.
     not_before: Nanos,
     /// The number of the last agreement known to this node.
     agreement: u64,
     /// When this node learned of the last agreement.
     since: Nanos,
-    /// The next rollout, and when this node learned of it.
+    /// The next rollout to begin, and when this node learned of that rollout.
     offered: Option<(RolloutId, Nanos)>,
-    /// Since when no node of the stage has been present.
+    /// Time since which no node of the stage has been present; `None` if one is present.
     stage_empty_since: Option<Nanos>,
     /// The metrics of the rollout in progress, or of the last rollout.
     metrics: Option<CohortMetrics>,
-    /// The next window to record.
+    /// Number of the next window to record.
     next_window: u64,
     analysis: Option<AnalysisResult>,
-    /// What the rollout waits for, as shown to operators.
+    /// What the rollout waits for, as shown to operators; empty if nothing.
     line: String,
     method: AnalysisMethod,
     /// Names of operations, by number.
     names: BTreeMap<u32, String>,
-    /// Number of nodes that the metrics keep separate at each end of the order of nodes.
+    /// Maximum number of nodes with metrics of their own at each end of the order of nodes.
     max_nodes: usize,
     /// Latencies that are never counted as slow, by operation, in units of 0.1 ms.
     fast_enough: BTreeMap<u32, u32>,
 }
 
-/// The inputs of a decision on the next step.
+/// The state of the cluster by which the coordinator decides on the next step.
 struct StepInputs<'a> {
     now: Nanos,
     unix_ms: u64,
@@ -164,8 +165,8 @@
             me,
             kind,
             voters,
-            // A hashed start keeps reports to an earlier process of the same node from being taken
-            // for answers to this coordinator's polls.
+            // A hashed first poll number keeps answers to polls of an earlier process of the same
+            // node from being taken for answers to this coordinator's polls.
             poll: (splitmix64(me ^ now) as u32) & 0x0fff_ffff,
             polled: 0,
             reports: BTreeMap::new(),
@@ -187,19 +188,20 @@
         }
     }
 
-    /// Sets the method of analysis; used to compare methods.
+    /// Sets the method of the canary analysis; used to compare methods.
     pub fn with_method(mut self, method: AnalysisMethod) -> Coordinator {
         self.method = method;
         self
     }
 
-    /// Sets the names of operations that are shown in reasons.
+    /// Sets the names of operations, by number, for the reasons that are shown to operators.
     pub fn with_names(mut self, names: BTreeMap<u32, String>) -> Coordinator {
         self.names = names;
         self
     }
 
-    /// Sets how many nodes the metrics keep separate at each end of the order of nodes.
+    /// Sets the maximum number of nodes with metrics of their own at each end of the order of
+    /// nodes.
     pub fn with_capacity(mut self, nodes: usize) -> Coordinator {
         self.max_nodes = nodes;
         self
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Returns whether this node is a voter and so keeps metrics.
+    /// Returns whether this node is one of the voters. Only voters record metrics.
     pub fn is_voter(&self) -> bool {
         self.voters.contains(&self.me)
     }
@@ -246,12 +248,12 @@
         self.analysis.as_ref()
     }
 
-    /// Returns what the rollout waits for; empty if it waits for nothing.
+    /// Returns what the rollout waits for; empty if the rollout waits for nothing.
     pub fn line(&self) -> &str {
         &self.line
     }
 
-    /// Returns a node's last report.
+    /// Returns the last report of a node; `None` if the node has answered no poll or has left.
     pub fn report(&self, node: u64) -> Option<&NodeReport> {
         self.reports.get(&node).map(|received| &received.report)
     }
@@ -260,13 +262,13 @@
         self.poll.wrapping_sub(received.poll) <= 1
     }
 
-    /// Records a node's answer to a poll.
+    /// Records a node's answer to a poll. Only answers to the last two polls are used in decisions.
     pub fn handle_report(&mut self, from: u64, poll: u32, report: NodeReport) {
         self.reports.insert(from, ReceivedReport { poll, report });
     }
 
     /// Performs due work: polls, decisions and rounds of voting. Must be called a few times a
-    /// second. `windows` returns the samples recorded before a rollout began.
+    /// second. `windows` returns the samples that were recorded before a rollout began.
     pub fn wake(
         &mut self,
         now: Nanos,
--- a/crates/rollout/src/coordinator/advance.rs
+++ b/crates/rollout/src/coordinator/advance.rs
@@ -13,10 +13,11 @@
 const CRASH_WINDOW: Nanos = 10 * SECOND;
 /// How long a stage whose nodes have all left waits before other nodes replace them.
 const REPLACE_DEPARTED_AFTER: Nanos = 30 * SECOND;
-/// Without a baseline cohort, a drop in the share of successful requests by more than this halts
-/// the rollout.
+/// Maximum drop in the share of successful requests in a stage without a baseline cohort; a larger
+/// drop halts the rollout.
 const COLLAPSE_MARGIN: f64 = 0.3;
-/// Minimum number of requests before and since the rollout began for that comparison.
+/// Minimum number of requests before the rollout and since it began for the comparison by
+/// [`COLLAPSE_MARGIN`].
 const COLLAPSE_MIN_REQUESTS: u64 = 200;
 
 /// The verdict of a stage's analysis, with its figures as one line of text.
@@ -36,7 +37,7 @@
     inputs.members.iter().filter(includes).collect()
 }
 
-/// Rule: a stage lasts at least its minimum duration.
+/// Rule: the minimum duration of the stage is over. Otherwise returns why the rollout waits.
 fn min_duration_not_over(stage: &Stage, elapsed: Nanos) -> Option<String> {
     (elapsed < stage.min_duration).then(|| {
         format!(
@@ -47,16 +48,16 @@
     })
 }
 
-/// Rule: metrics have been recorded.
+/// Rule: metrics have been recorded for this rollout. Otherwise returns why the rollout waits.
 fn no_metrics(verdict: &Option<StageVerdict>) -> Option<String> {
     verdict
         .is_none()
         .then(|| "no metrics are recorded yet".to_owned())
 }
 
-/// Rule: the analysis found the stage fine. Where there is too little traffic for that, it suffices
-/// that nothing showed harm throughout the maximum duration. The rule does not apply without a
-/// baseline cohort.
+/// Rule: the analysis found the stage fine. With too little traffic for such a verdict, the rule
+/// holds if no comparison showed harm throughout the maximum duration. The rule does not apply
+/// without a baseline cohort.
 fn analysis_not_done(
     verdict: Option<StageVerdict>,
     has_baseline: bool,
@@ -72,7 +73,8 @@
 }
 
 impl Coordinator {
-    /// Counts the crashes in this stage, on trial and at the other nodes.
+    /// Counts the crashes since this stage began, of nodes with the version on trial and of the
+    /// other nodes.
     fn crash_counts(&self, inputs: &StepInputs<'_>, rollout: &Rollout) -> CrashCounts {
         let mut crashes = [0, 0];
         let is_on_trial = |report: &NodeReport| {
@@ -92,7 +94,8 @@
                 }
                 () if !is_present && is_on_trial(report) => crashes[0] += 1,
                 () if !is_present => crashes[1] += 1,
-                // The node runs the base version and started after the stage began: it crashed.
+                // The node runs the base version and started after the stage began, so its process
+                // crashed.
                 () if report.running == rollout.base
                     && report.since_ms > rollout.progress.at_ms =>
                 {
@@ -115,8 +118,9 @@
     }
 
     /// Decides the next step of the rollout in progress. The rules in order: rejection by a node,
-    /// harm, quorum, nodes in the stage, all of these on the new version, the minimum duration, the
-    /// analysis. Past the maximum duration the rollout is halted.
+    /// harm, quorum, nodes in the stage, all of these on the new version, the minimum duration,
+    /// metrics, the analysis. If one of the last four rules does not hold after the maximum
+    /// duration, the rollout is halted.
     pub(super) fn step_in_progress(&mut self, inputs: &StepInputs<'_>, rollout: &Rollout) -> Step {
         if let Some(why) = self.rejection(rollout) {
             return Step::end(rollout, Outcome::RolledBack, why);
@@ -172,7 +176,8 @@
         inputs.now - self.since.min(inputs.now)
     }
 
-    /// Analyses the stage by the metrics recorded so far; `None` without metrics.
+    /// Analyses the stage by the metrics recorded so far; returns `None` if no metrics are
+    /// recorded.
     fn analyse_stage(
         &mut self,
         inputs: &StepInputs<'_>,
@@ -192,8 +197,8 @@
     }
 
     /// Decides the next step while no node of the stage is present. A lost node may still run the
-    /// new version: only nodes that left are replaced, so that no more nodes run it than the stage
-    /// allows.
+    /// new version: only nodes that left are replaced, so that no more nodes run the new version
+    /// than the stage allows.
     fn step_without_nodes(
         &mut self,
         inputs: &StepInputs<'_>,
@@ -223,7 +228,8 @@
     }
 
     /// Rule: each present node of the stage has recently reported that it runs the new version, or
-    /// that it gave the version up after [`MAX_CRASHES`] crashes.
+    /// that it gave the version up after [`MAX_CRASHES`] crashes. Otherwise returns why the rollout
+    /// waits.
     fn not_running_yet(&self, rollout: &Rollout, in_stage: &[&Member]) -> Option<String> {
         let runs = |report: &NodeReport| {
             report.rollout == rollout.id
--- a/crates/rollout/src/coordinator/follow.rs
+++ b/crates/rollout/src/coordinator/follow.rs
@@ -7,8 +7,8 @@
 use crate::rollout_table::RolloutTable;
 
 impl Coordinator {
-    /// Returns the next window to record; `None` while no rollout is in progress or this node is
-    /// not a voter.
+    /// Returns the number of the next window to record; `None` while no rollout is in progress or
+    /// this node is not a voter.
     pub fn next_wanted_window(&self, rollouts: &RolloutTable) -> Option<u64> {
         let records =
             rollouts.in_progress(self.kind).is_some() && self.metrics.is_some() && self.is_voter();
@@ -23,8 +23,9 @@
         }
     }
 
-    /// Follows the rollout table: notes new agreements and offers, and when a rollout has begun
-    /// starts its metrics with the windows recorded before it, as returned by `windows`.
+    /// Follows the rollout table: notes new agreements and offers. When a rollout has begun, starts
+    /// the rollout's metrics with the windows recorded before the rollout, as returned by
+    /// `windows`.
     pub(super) fn follow_rollout(
         &mut self,
         now: Nanos,
--- a/crates/rollout/src/coordinator/start.rs
+++ b/crates/rollout/src/coordinator/start.rs
@@ -9,10 +9,11 @@
 use crate::stages::{NextAgreement, Progress};
 use crate::{Nanos, SECOND};
 
-/// How long a rollout waits for all nodes to stage it before it begins without the rest.
+/// How long an offered rollout waits until all nodes have staged the version. After that the
+/// rollout begins once more than half of the cluster has staged it.
 const STRAGGLER_WAIT: Nanos = 60 * SECOND;
-/// How long most nodes may fail to stage a rollout before it is rejected: its content may be lost
-/// together with the node that offered it.
+/// How long an offered rollout may stay staged at no more than half of the cluster before the
+/// rollout is rejected. The content may be lost together with the node that offered it.
 const CONTENT_LOST_AFTER: Nanos = 180 * SECOND;
 
 impl Coordinator {
@@ -66,7 +67,8 @@
         Ok(())
     }
 
-    /// Rule: no node rejects the version. Otherwise returns how many nodes do and the first reason.
+    /// Rule: no node rejects the version. Otherwise returns how many nodes reject it, and the
+    /// reason of the first one.
     pub(super) fn rejection(&self, rollout: &Rollout) -> Option<String> {
         let mut nodes = self
             .fresh_reports(rollout.id)
@@ -119,9 +121,9 @@
         }
     }
 
-    /// Decides the next step of an offered rollout. The rules in order: its version is newer than
-    /// the promoted ones, no node rejects it, quorum, it is staged at enough nodes, no halted
-    /// rollout remains.
+    /// Decides the next step of an offered rollout. The rules in order: the version is newer than
+    /// the promoted versions, no node rejects the version, quorum, the version is staged at enough
+    /// nodes, no halted rollout remains.
     pub(super) fn step_before_start(&self, inputs: &StepInputs<'_>, rollout: &Rollout) -> Step {
         if let Some(why) = self.outdated(rollout) {
             return Step::end(rollout, Outcome::Rejected, why);
@@ -148,7 +150,8 @@
         self.propose(inputs, rollout, false)
     }
 
-    /// Rule: the version is newer than every version that a node has promoted.
+    /// Rule: the version is newer than every version that a node has promoted. Otherwise returns
+    /// why the rollout is rejected.
     fn outdated(&self, rollout: &Rollout) -> Option<String> {
         let promoted = self
             .fresh_reports(rollout.id)
@@ -160,7 +163,8 @@
     }
 
     /// Rule: the version is staged at all present nodes, or after [`STRAGGLER_WAIT`] at more than
-    /// half of the cluster. A rollout staged at fewer after [`CONTENT_LOST_AFTER`] is rejected.
+    /// half of the cluster. A rollout that is staged at half of the cluster or less after
+    /// [`CONTENT_LOST_AFTER`] is rejected.
     fn not_staged(&self, inputs: &StepInputs<'_>, rollout: &Rollout) -> Option<Step> {
         let staged = self
             .fresh_reports(rollout.id)
--- a/crates/rollout/src/coordinator/voting.rs
+++ b/crates/rollout/src/coordinator/voting.rs
@@ -1,4 +1,4 @@
-//! The coordinator's rounds of voting.
+//! The coordinator's rounds of voting on proposals.
 
 use super::{Coordinator, CoordinatorAction};
 use crate::member::Member;
@@ -47,7 +47,7 @@
             .collect()
     }
 
-    /// Gives up the round and sets the earliest time of the next one.
+    /// Gives up the round of voting and sets the earliest time of the next round.
     pub(super) fn give_up(&mut self, now: Nanos) {
         self.round = None;
         // The random part keeps two coordinators from interrupting each other's rounds forever.
--- a/crates/rollout/src/identifiers.rs
+++ b/crates/rollout/src/identifiers.rs
@@ -5,7 +5,7 @@
 /// A version of the settings or of the program. Versions are the same if number and hash are equal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Version {
-    /// The version number; each later version has a higher one.
+    /// The version number; a later version has a higher number.
     pub number: u64,
     /// The first 8 bytes of a hash of the version's content.
     pub hash: u64,
@@ -27,12 +27,13 @@
     }
 }
 
-/// The subject of a rollout.
+/// What a rollout replaces on the nodes: the settings or the program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Kind {
-    /// The settings: the nodes send the text of the file to each other.
+    /// The settings. The nodes send each other the text of the settings file.
     #[default]
     Settings,
-    /// The program: its directory is installed on each machine by means outside of the cluster.
+    /// The program. An installer outside of the cluster puts the program's directory on each
+    /// machine.
     Program,
 }
--- a/crates/rollout/src/member.rs
+++ b/crates/rollout/src/member.rs
@@ -5,8 +5,8 @@
 pub struct Member {
     /// The key of the node's name.
     pub node: u64,
-    /// The number of the node's zone.
+    /// The number of the node's zone, which selects the threshold of a stage.
     pub zone: u32,
-    /// Whether the node is alive; `false` for a known node that was lost.
+    /// True if the node is alive; false if the node was lost without an announcement.
     pub present: bool,
 }
--- a/crates/rollout/src/messages/command.rs
+++ b/crates/rollout/src/messages/command.rs
@@ -1,6 +1,6 @@
-//! Operator commands to a node, and its replies.
+//! Operator commands to a node, and the node's replies.
 
-/// A command of an operator to a node.
+/// A command that an operator's tool sends to a node.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OperatorCommand {
     /// Kind of the command, one of [`command_kind`].
@@ -27,10 +27,10 @@
     /// Rollout that is halted or rolled back; 0 for the current one.
     #[prost(fixed64, tag = "8")]
     pub rollout: u64,
-    /// Reason given by the operator.
+    /// Reason given by the operator, for a halt or a rollback.
     #[prost(string, tag = "9")]
     pub why: String,
-    /// Whether the command is about rollouts of the program instead of the settings.
+    /// True if the command is about rollouts of the program, false for the settings.
     #[prost(bool, tag = "10")]
     pub program: bool,
 }
@@ -41,13 +41,13 @@
     pub const CHUNK: u32 = 1;
     /// Offers the transferred content to the cluster.
     pub const OFFER: u32 = 2;
-    /// Halts a rollout.
+    /// Halts a rollout: nodes that run the new version keep running it.
     pub const HALT: u32 = 3;
-    /// Rolls a rollout back.
+    /// Rolls a rollout back: all nodes return to the version that they ran before.
     pub const ROLL_BACK: u32 = 4;
 }
 
-/// The reply to an operator command.
+/// The reply of a node to an operator command.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct CommandReply {
     /// State of the command, one of [`crate::operator_commands::state`].
--- a/crates/rollout/src/messages/decode.rs
+++ b/crates/rollout/src/messages/decode.rs
@@ -118,7 +118,8 @@
             .progress
             .as_ref()
             .map_or(Some(Progress::default()), decode_progress)?,
-        // An outcome that only a later version knows is read as rolled back, the safest one.
+        // An outcome that only a later version of the program knows is read as rolled back, the
+        // safest outcome.
         outcome: Outcome::from_number(rollout.outcome).unwrap_or(Outcome::RolledBack),
         reason: reason.map_or(Reason::default(), |r| Reason {
             at_ms: r.at_ms,
--- a/crates/rollout/src/messages/encode.rs
+++ b/crates/rollout/src/messages/encode.rs
@@ -124,8 +124,8 @@
     }
 }
 
-/// Encodes a message. Rollouts that do not fit into one message must be split before: see
-/// [`rollout_messages`].
+/// Encodes a message. Rollouts that do not fit into one message must be split into several messages
+/// first: see [`rollout_messages`].
 pub fn encode(message: &RolloutMessage) -> Vec<u8> {
     let mut wire = MessageWire::default();
     match message {
@@ -217,7 +217,7 @@
 }
 
 /// Splits rollouts into as many messages as they need. If `answer` is set, the last message asks
-/// the receiver for an answer.
+/// the receiver to send its own rollouts.
 pub fn rollout_messages<'c>(
     all: impl Iterator<Item = &'c Rollout>,
     answer: bool,
@@ -243,9 +243,10 @@
     messages.into_iter().enumerate().map(message).collect()
 }
 
-/// Encodes the report that a node attaches to its membership entry, without the reason.
+/// Encodes the report that a node attaches to its membership entry. The reason [`NodeReport::why`]
+/// is left out.
 pub fn encode_attachment(report: &NodeReport) -> Vec<u8> {
-    // Only replies to polls carry the reason, since the space of a membership entry is limited.
+    // Only answers to polls carry the reason, since the space of a membership entry is limited.
     later(
         encode_report(&NodeReport {
             why: String::new(),
--- a/crates/rollout/src/messages/later.rs
+++ b/crates/rollout/src/messages/later.rs
@@ -1,12 +1,13 @@
 //! Encoding of messages as a later version would encode them, in builds with the feature `later`:
-//! an additional field in each message, a field left out of some, and kinds that the present
-//! version does not know. Used to test both versions side by side; see `docs/design/rollout.md`.
+//! an additional field in each message, a field left out of some messages, and message kinds that
+//! the present version does not know. Used to test both versions side by side; see
+//! `docs/design/rollout.md`.
 
 use super::message::MAX_MESSAGE_BYTES;
 use super::wire::MessageWire;
 use prost::Message as _;
 
-/// Whether this build encodes messages as a later version would.
+/// True in builds with the feature `later`, which encode messages as a later version would.
 pub const LATER: bool = cfg!(feature = "later");
 
 /// Encoded field that the present version does not know: number 250, a string.
--- a/crates/rollout/src/messages/message.rs
+++ b/crates/rollout/src/messages/message.rs
@@ -13,15 +13,15 @@
 pub enum RolloutMessage {
     /// The rollouts known to the sender.
     Rollouts {
-        /// Rollouts known to the sender.
+        /// Rollouts known to the sender, as many as fit into one message.
         rollouts: Vec<Rollout>,
-        /// Whether the receiver is to answer with the rollouts that it knows.
+        /// True if the receiver is to answer with the rollouts that it knows.
         answer: bool,
     },
-    /// From the coordinator: asks a node for its report on a rollout, and tells it the stage and
-    /// outcome.
+    /// From the coordinator: asks a node for its report on a rollout, and tells the node the
+    /// rollout's stage and outcome.
     Poll {
-        /// Number of the poll.
+        /// Number of the poll, repeated in the node's answer.
         poll: u32,
         /// Rollout that is polled.
         rollout: RolloutId,
@@ -34,7 +34,7 @@
     NodeReport {
         /// Number of the poll that is answered.
         poll: u32,
-        /// Report of the node.
+        /// Report of the answering node on the polled rollout.
         report: NodeReport,
     },
     /// Requests consecutive chunks of a rollout's content.
@@ -43,16 +43,16 @@
         rollout: RolloutId,
         /// Index of the first chunk.
         first: u32,
-        /// Number of chunks.
+        /// Number of chunks that are requested.
         count: u32,
     },
     /// A chunk of a rollout's content.
     Chunk {
         /// Rollout whose content the chunk is part of.
         rollout: RolloutId,
-        /// Index of the chunk.
+        /// Index of the chunk in the content, from 0.
         index: u32,
-        /// Bytes of the chunk.
+        /// Bytes of the chunk; the last chunk of a content may be shorter than the others.
         bytes: Vec<u8>,
     },
     /// Paxos request from the coordinator to a voter, for rollouts of this kind.
--- a/crates/rollout/src/messages/tests.rs
+++ b/crates/rollout/src/messages/tests.rs
@@ -187,8 +187,8 @@
     );
 }
 
-/// A later program may add fields, kinds and outcomes. Known parts are decoded; an unknown outcome
-/// is read as the safest one.
+/// A later program may add fields, kinds and outcomes. Known fields are decoded; an unknown outcome
+/// is read as the safest outcome.
 #[test]
 fn known_parts_of_a_message_of_a_later_version_are_decoded() {
     let mut wire = MessageWire {
--- a/crates/rollout/src/messages/wire.rs
+++ b/crates/rollout/src/messages/wire.rs
@@ -10,7 +10,7 @@
     pub(super) hash: u64,
 }
 
-/// A stage of a plan.
+/// A stage of a rollout's plan; see [`crate::stages::Stage`].
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(crate) struct StageWire {
     #[prost(uint32, tag = "1")]
@@ -25,7 +25,7 @@
     pub(super) start_spread_ms: u32,
 }
 
-/// The plan of a rollout.
+/// The plan of a rollout; see [`crate::stages::Plan`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct PlanWire {
     #[prost(message, repeated, tag = "1")]
@@ -60,7 +60,7 @@
     pub(super) at_ms: u64,
 }
 
-/// A ballot of the agreement protocol.
+/// A ballot of a round of voting; see [`crate::paxos::Ballot`].
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub(crate) struct BallotWire {
     #[prost(uint64, tag = "1")]
@@ -69,7 +69,7 @@
     pub(super) by: u64,
 }
 
-/// A proposal of the agreement protocol.
+/// A proposal that voters vote on; see [`crate::paxos::Proposal`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct ProposalWire {
     #[prost(fixed64, tag = "1")]
@@ -78,7 +78,7 @@
     pub(super) progress: Option<ProgressWire>,
 }
 
-/// The state of a voter, as persisted.
+/// A voter's promise and vote, as persisted.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct VoteWire {
     #[prost(uint64, tag = "1")]
@@ -91,7 +91,7 @@
     pub(super) accepted: Option<ProposalWire>,
 }
 
-/// The reason why a rollout ended.
+/// The reason why a rollout ended; see [`crate::rollout::Reason`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct ReasonWire {
     #[prost(uint64, tag = "1")]
@@ -131,7 +131,7 @@
     pub(super) reason: Option<ReasonWire>,
 }
 
-/// The report of a node.
+/// A node's report on its version and the rollout that it follows.
 #[derive(Clone, PartialEq, prost::Message)]
 pub(crate) struct ReportWire {
     #[prost(fixed64, tag = "1")]
--- a/crates/rollout/src/node_agent.rs
+++ b/crates/rollout/src/node_agent.rs
@@ -1,6 +1,6 @@
-//! The node agent: a node's part in rollouts of one kind. It fetches and checks offered versions,
-//! runs them on trial once a stage includes the node, promotes them or rolls them back, and votes
-//! if the node is a voter.
+//! The node agent takes part in rollouts of one kind on behalf of a node. It fetches and checks
+//! offered versions, runs a version on trial once a stage includes the node, promotes the version
+//! or rolls it back, and votes if the node is a voter.
 //!
 //! Steps of a rollout at a node: offered, content fetched, checked by the node, staged (on disk).
 //! Once a stage includes the node, the trial is written to disk first and the version applied after
@@ -45,8 +45,8 @@
 
 /// Interval of exchanges with a peer whose digest of rollouts differs.
 const DIGEST_INTERVAL: Nanos = SECOND;
-/// How long a check, write or switch of the host may take before it is given up and requested
-/// again.
+/// How long a check, a write or a switch of versions by the host may take before the node agent
+/// gives the operation up and requests it again.
 const OPERATION_TIMEOUT: Nanos = 20 * SECOND;
 /// Time from a crash on trial, or from a failed switch of versions, to the next attempt.
 const RETRY_AFTER_CRASH: Nanos = 20 * SECOND;
@@ -55,19 +55,19 @@
 /// How long ended rollouts are kept.
 const ROLLOUT_RETENTION: Nanos = 7 * 24 * 3600 * SECOND;
 
-/// A node's name and zone.
+/// The key of a node's name, and the number of the node's zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeIdentity {
     /// The key of the node's name.
     pub key: u64,
-    /// The number of the node's zone.
+    /// The number of the node's zone, which selects the threshold of a stage.
     pub zone: u32,
 }
 
 /// The state a node starts with, as read from its disk.
 #[derive(Clone, Debug, Default)]
 pub struct InitialState {
-    /// The persisted state.
+    /// The persisted state of the node's versions, as decoded from disk.
     pub persisted: PersistedState,
     /// The version that the process runs.
     pub running: Version,
@@ -77,16 +77,17 @@
     pub new_content: Option<Vec<u8>>,
     /// The trial that crashed at this node before this start, if any.
     pub crashed: Option<Trial>,
-    /// Whether the node's disk was empty.
+    /// True if the node's disk was empty at the start. The node may then have lost a vote and
+    /// abstains from voting for a while.
     pub disk_was_empty: bool,
 }
 
-/// The host operation whose result is awaited; there is at most one at a time.
+/// The host operation whose result is awaited. A node agent has at most one pending operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum PendingOperation {
-    /// No operation.
+    /// No host operation is pending.
     Nothing,
-    /// A check of a rollout's version.
+    /// A check whether this node can run a rollout's version.
     Check { rollout: RolloutId, since: Nanos },
     /// A write of the persisted state, and the step that follows it.
     Persist {
@@ -111,7 +112,7 @@
     PaxosReply(u64, PaxosReply),
 }
 
-/// When this node first saw a stage of a rollout. Its start slot is counted from that time.
+/// When this node first saw a stage of a rollout. The node's start slot is counted from that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct StageFirstSeen {
     rollout: RolloutId,
@@ -119,9 +120,10 @@
     at: Nanos,
 }
 
-/// A node's part in rollouts of one kind.
+/// The state machine that fetches, checks, runs, promotes and rolls back versions at one node, for
+/// rollouts of one kind.
 pub struct NodeAgent<H: Host> {
-    /// The embedder's side effects.
+    /// The embedder, which carries out the agent's side effects.
     pub host: H,
     /// The kind of the rollouts.
     kind: Kind,
@@ -129,30 +131,30 @@
     me: u64,
     /// The number of this node's zone.
     zone: u32,
-    /// The state on disk, or being written by the pending write.
+    /// The state on disk, or the state that the pending write puts there.
     persisted: PersistedState,
     /// All rollouts that this node knows.
     pub(crate) rollouts: RolloutTable,
     /// The version that this node runs.
     running: Version,
-    /// When this node began to run its version, in Unix milliseconds.
+    /// When this node began to run the version `running`, in Unix milliseconds.
     since_ms: u64,
-    /// When a version last crashed on trial at this node, in Unix milliseconds.
+    /// When a version last crashed on trial at this node, in Unix milliseconds; 0 if none did.
     last_crash_ms: u64,
     /// The host operation whose result is awaited.
     pending: PendingOperation,
     /// Number of writes so far; the last write has this number.
     write_count: u64,
-    /// The unanswered request to this node as a voter, with the key of the coordinator that sent
-    /// it.
+    /// The unanswered Paxos request to this node as a voter, with the key of the coordinator that
+    /// sent the request.
     voter_request: Option<(u64, PaxosRequest)>,
     /// When this node started, if its disk was empty and no agreement has been seen since.
     empty_disk_since: Option<Nanos>,
     /// When this node started.
     started: Nanos,
-    /// Whether the node has logged that it abstains from votes.
+    /// True once the node has logged that it abstains from votes.
     abstention_logged: bool,
-    /// When a write last failed; `None` while the disk is up to date.
+    /// When a write of the persisted state last failed; `None` while the disk is up to date.
     persist_failed_at: Option<Nanos>,
     /// The fetch of a rollout's content in progress.
     fetch: Option<ChunkFetch>,
@@ -162,15 +164,15 @@
     staged: BTreeSet<Version>,
     /// Versions that this node rejected since its start, with the reason.
     rejected: BTreeMap<Version, String>,
-    /// The stage that includes this node and was seen last.
+    /// The last seen stage that includes this node, and when this node first saw the stage.
     stage_first_seen: Option<StageFirstSeen>,
     /// The earliest time of the next trial.
     not_before: Nanos,
     /// When digests of rollouts were last compared with peers.
     last_digest_exchange: Nanos,
-    /// The last report that was shown.
+    /// The report that was last passed to [`Host::show`].
     report: NodeReport,
-    /// Local totals one interval before the trial began.
+    /// Local totals at the second-last record before the trial began.
     local_before: LocalMetrics,
     /// Local totals when the trial began.
     local_at_trial_start: Option<LocalMetrics>,
@@ -179,7 +181,8 @@
 }
 
 impl<H: Host> NodeAgent<H> {
-    /// Creates the agent of a node that has just started with `start` read from its disk.
+    /// Creates the agent of a node that has just started; `start` is what the node read from its
+    /// disk.
     pub fn new(
         now: Nanos,
         unix_ms: u64,
@@ -294,7 +297,7 @@
         matches!(self.pending, PendingOperation::Apply { .. })
     }
 
-    /// Returns the node's last report.
+    /// Returns the report that was last passed to [`Host::show`].
     pub fn report(&self) -> &NodeReport {
         &self.report
     }
@@ -304,7 +307,7 @@
         self.running
     }
 
-    /// Returns the state on disk, or being written by the pending write.
+    /// Returns the state on disk, or the state that the pending write puts there.
     pub fn persisted_state(&self) -> &PersistedState {
         &self.persisted
     }
@@ -353,7 +356,8 @@
         self.proceed(now);
     }
 
-    /// Starts the next steps that the known rollouts call for, and shows the report if it changed.
+    /// Starts the next steps that the known rollouts require, and shows the report if the report
+    /// changed.
     fn proceed(&mut self, now: Nanos) {
         self.detect_lost_votes(now);
         if self.pending == PendingOperation::Nothing {
--- a/crates/rollout/src/node_agent/assignment.rs
+++ b/crates/rollout/src/node_agent/assignment.rs
@@ -1,5 +1,5 @@
-//! Decides which version this node must run by the rollouts that it knows, and takes the step to
-//! it.
+//! Decides by the known rollouts which version this node must run, and starts the switch to that
+//! version.
 
 use super::NodeAgent;
 use crate::Nanos;
@@ -27,7 +27,7 @@
             .max_by_key(|rollout| rollout.progress.agreement)
     }
 
-    /// Returns a rollout that was rejected or rolled back while this node runs its version.
+    /// Returns a rollout that was rejected or rolled back, and whose version this node still runs.
     pub(super) fn running_rolled_back(&self) -> Option<&Rollout> {
         self.of_kind().find(|rollout| {
             matches!(rollout.outcome, Outcome::Rejected | Outcome::RolledBack)
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Returns the rollout that this node reports on.
+    /// Returns the rollout that this node's report is about.
     pub(super) fn shown_rollout(&self) -> Option<&Rollout> {
         let trial = self
             .persisted
--- a/crates/rollout/src/node_agent/explain.rs
+++ b/crates/rollout/src/node_agent/explain.rs
@@ -1,4 +1,4 @@
-//! The node's report, and the explanation of which version it runs and why.
+//! The node's report, and the explanation for operators of which version the node runs and why.
 
 use super::NodeAgent;
 use crate::MILLISECOND;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns the node's report on a rollout, or without one.
+    /// Returns the node's report on `rollout`; with `None`, a report on the node's versions alone.
     pub(super) fn report_of(&self, rollout: Option<&Rollout>) -> NodeReport {
         let version = rollout.map(|rollout| rollout.version);
         NodeReport {
--- a/crates/rollout/src/node_agent/local_metrics.rs
+++ b/crates/rollout/src/node_agent/local_metrics.rs
@@ -6,13 +6,15 @@
 use crate::host::Host;
 use crate::rollout::Outcome;
 
-/// Minimum number of requests before and since the start of a trial for the comparison.
+/// Minimum number of requests, both before and since the start of a trial, for a comparison of the
+/// shares of successful requests.
 const LOCAL_MIN_REQUESTS: u64 = 50;
 
-/// A drop in the share of successful requests by more than this rolls the rollout back.
+/// Maximum drop in the share of successful requests under a version on trial; a larger drop rolls
+/// the rollout back.
 const LOCAL_SUCCESS_DROP: f64 = 0.5;
 
-/// Totals of this node since its start, used to judge a trial locally.
+/// Totals of this node since its start, by which the node decides on its own whether a trial fails.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalMetrics {
     /// Number of requests that arrived.
@@ -21,7 +23,7 @@
     pub succeeded: u64,
     /// Number of requests that failed.
     pub errored: u64,
-    /// Number of violated invariants.
+    /// Number of invariants that this node found violated.
     pub invariants: u64,
 }
 
@@ -35,7 +37,8 @@
             .trial
             .filter(|trial| trial.version == self.running)
         else {
-            // A trial is compared with the interval between the last two totals before it.
+            // A trial is compared with the interval from the second-last record before the trial to
+            // the first record during the trial.
             (self.local_before, self.local_at_trial_start) = (
                 LocalMetrics {
                     ..self.local_latest
--- a/crates/rollout/src/node_agent/messaging.rs
+++ b/crates/rollout/src/node_agent/messaging.rs
@@ -11,11 +11,12 @@
 use crate::rollout::{Outcome, Reason, Rollout};
 use crate::stages::Progress;
 
-/// Number of peers that are sent the known rollouts at once when one changes.
+/// Number of peers to which the known rollouts are sent at once when a rollout changes.
 const ANNOUNCE_FANOUT: usize = 3;
 
 impl<H: Host> NodeAgent<H> {
-    /// Offers a rollout to the cluster from this node, with its content for rollouts of settings.
+    /// Offers a rollout to the cluster from this node. Rollouts of settings come with their
+    /// content.
     pub fn offer(&mut self, now: Nanos, rollout: Rollout, content: Option<Vec<u8>>) {
         if let Some(content) = content {
             self.contents.insert(rollout.version, content);
@@ -62,7 +63,8 @@
         advances
     }
 
-    /// Merges a copy of a rollout and announces it if it changed anything; returns whether it did.
+    /// Merges a received copy of a rollout, and announces the known rollouts if the copy changed
+    /// the table. Returns whether the copy changed the table.
     fn merge_rollout(&mut self, now: Nanos, received: &Rollout) -> bool {
         if received.kind != self.kind {
             return false;
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Sends all known rollouts to a node; with `answer` the node is asked to send its own in
-    /// return.
+    /// Sends all known rollouts to a node. If `answer` is set, the node is asked to send the
+    /// rollouts that it knows in return.
     pub(super) fn send_rollouts(&mut self, to: u64, answer: bool) {
         for message in rollout_messages(self.rollouts.iter(), answer) {
             self.host.send(to, message);
@@ -168,7 +170,8 @@
     }
 
     /// Answers a coordinator's poll with this node's report. The poll carries the rollout's stage
-    /// and outcome as the coordinator knows them; if either side is behind, rollouts are exchanged.
+    /// and outcome as the coordinator knows them; if the node or the coordinator has an older copy,
+    /// the two exchange rollouts.
     fn answer_poll(
         &mut self,
         from: u64,
@@ -208,7 +211,7 @@
         }
     }
 
-    /// Returns the node's report on this rollout, which it may not know.
+    /// Returns the node's report on this rollout, which may be unknown to the node.
     fn report_on(&self, rollout: RolloutId) -> NodeReport {
         NodeReport {
             rollout,
--- a/crates/rollout/src/node_agent/persistence.rs
+++ b/crates/rollout/src/node_agent/persistence.rs
@@ -1,4 +1,4 @@
-//! Writes to disk, and the step that follows each write.
+//! Writes of the persisted state, and the step that follows each write.
 
 use super::{Continuation, NodeAgent, PendingOperation};
 use crate::Nanos;
@@ -118,7 +118,8 @@
         self.host.apply(version);
     }
 
-    /// Returns whether the recorded trial has not begun and its rollout has ended meanwhile.
+    /// Returns whether the recorded trial has not begun yet although its rollout has ended
+    /// meanwhile.
     fn is_pending_trial_halted(&self) -> bool {
         let trial = self
             .persisted
--- a/crates/rollout/src/node_agent/staging.rs
+++ b/crates/rollout/src/node_agent/staging.rs
@@ -10,8 +10,9 @@
 use crate::rollout::Rollout;
 
 impl<H: Host> NodeAgent<H> {
-    /// Fetches and checks the first version that is not staged yet: that of a completed rollout
-    /// that this node lacks, then that of the rollout in progress, then that of the next one.
+    /// Fetches and checks the first version that is not staged yet. The order is: a completed
+    /// rollout whose version this node lacks, the rollout in progress, the rollout that begins
+    /// next.
     pub(super) fn stage_next(&mut self, now: Nanos) {
         let in_progress = self.rollouts.in_progress(self.kind);
         let candidates = [
@@ -35,8 +36,7 @@
         }
     }
 
-    /// Fetches a rollout's content chunk by chunk, and asks the host to check it once it is
-    /// complete.
+    /// Fetches a rollout's content chunk by chunk, and asks the host to check the complete content.
     fn fetch_and_check(&mut self, now: Nanos, rollout: &Rollout) {
         let has_content = self.contents.contains_key(&rollout.version);
         if rollout.kind == Kind::Settings && !has_content {
--- a/crates/rollout/src/node_agent/trial.rs
+++ b/crates/rollout/src/node_agent/trial.rs
@@ -1,4 +1,4 @@
-//! Trials: their start in the node's slot, the switch of versions, promotion and rollback.
+//! Trials of versions: start in the node's slot, switch of versions, promotion and rollback.
 
 use super::{Continuation, NodeAgent, PendingOperation, RETRY_AFTER_CRASH, StageFirstSeen};
 use crate::Nanos;
@@ -102,7 +102,7 @@
         self.proceed(now);
     }
 
-    /// Promotes the version of a completed rollout: the node starts on it from now on.
+    /// Promotes the version of a completed rollout: the node starts on that version from now on.
     pub(super) fn promote(&mut self, now: Nanos, version: Version) {
         if self.persisted.promoted != Some(version) || self.persisted.trial.is_some() {
             self.persisted.promote(version);
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Rolls back to the last promoted version. If `version` itself was promoted and is rolled back
-    /// later, returns to the promoted version before it.
+    /// Rolls back to the last promoted version. If `version` was itself promoted before the
+    /// rollback, the node returns to the version promoted before `version`.
     pub(super) fn roll_back(&mut self, now: Nanos, version: Version, base: Version) {
         self.persisted.trial = None;
         self.persisted
--- a/crates/rollout/src/node_agent/voting.rs
+++ b/crates/rollout/src/node_agent/voting.rs
@@ -7,14 +7,14 @@
 use crate::{Nanos, SECOND};
 
 /// A voter that starts with an empty disk and learns of an agreement within this time may have lost
-/// its vote. Also the longest time after the start for which it abstains.
+/// its vote. The voter abstains for at most this time after its start.
 const VOTE_LOSS_PERIOD: Nanos = 600 * SECOND;
 
 impl<H: Host> NodeAgent<H> {
-    /// Detects a possible loss of this voter's vote: its disk was empty at the start, and the
-    /// cluster has reached agreements. The voter then abstains for two agreements, after which none
-    /// that it may have voted on is open, or for [`VOTE_LOSS_PERIOD`], by which time any round that
-    /// counted its vote has ended.
+    /// Detects a possible loss of this voter's vote: the disk was empty at the start, and the
+    /// cluster has reached agreements. The voter then abstains for two agreements, after which no
+    /// agreement that it may have voted on is open. It abstains for at most [`VOTE_LOSS_PERIOD`],
+    /// after which every round that counted its vote has ended.
     pub(super) fn detect_lost_votes(&mut self, now: Nanos) {
         let known = last_agreement(&self.rollouts, self.kind);
         let Some(empty_disk_since) = self.empty_disk_since.filter(|_| known > 0) else {
@@ -26,7 +26,8 @@
         }
     }
 
-    /// Answers the coordinator's request. A vote is on disk before the reply is sent.
+    /// Answers the pending Paxos request of the coordinator. A vote is on disk before the reply is
+    /// sent.
     pub(super) fn answer_voter_request(&mut self, now: Nanos) {
         let Some((from, request)) = self.voter_request.take() else {
             return;
--- a/crates/rollout/src/node_report.rs
+++ b/crates/rollout/src/node_report.rs
@@ -69,9 +69,9 @@
 pub struct NodeReport {
     /// The rollout that the node follows; 0 if none.
     pub rollout: RolloutId,
-    /// The rollout's stage as far as the node knows.
+    /// The latest stage of the rollout that the node knows, counted from 1.
     pub stage: u32,
-    /// The rollout's outcome as far as the node knows.
+    /// The outcome of the rollout that the node knows.
     pub outcome: Outcome,
     /// The node's status in the rollout.
     pub status: NodeStatus,
@@ -85,7 +85,7 @@
     pub crashes: u32,
     /// When a version last crashed on trial at this node, in Unix milliseconds; 0 if none did.
     pub last_crash_ms: u64,
-    /// Why the node rejects the version; empty if it does not.
+    /// Why the node rejects the version; empty if the node does not reject the version.
     pub why: String,
     /// The digest of all rollouts that the node knows.
     pub digest: u64,
--- a/crates/rollout/src/operator_commands.rs
+++ b/crates/rollout/src/operator_commands.rs
@@ -1,7 +1,7 @@
-//! Operator commands to one node: to send a content in chunks, in any order and possibly repeated;
-//! to offer it to the cluster once the node has checked it; to halt a rollout or roll it back. A
-//! command may be repeated because its reply was lost: it gets the same reply and has no second
-//! effect.
+//! Operator commands to one node. There are commands to send a content in chunks, in any order and
+//! possibly repeated, to offer the content to the cluster once the node has checked it, and to halt
+//! a rollout or roll it back. An operator's tool repeats a command whose reply was lost. A repeated
+//! command gets the same reply and has no second effect.
 
 use crate::chunks::CHUNK_BYTES;
 use crate::chunks::{self, MAX_CONTENT_BYTES};
@@ -14,18 +14,19 @@
 use crate::{Nanos, SECOND, splitmix64};
 use std::collections::VecDeque;
 
-/// Time without a chunk after which another content may replace an incomplete one.
+/// Time since the last received chunk after which another content may replace an incomplete
+/// content.
 const INCOMING_IDLE_TIMEOUT: Nanos = 10 * SECOND;
 /// Number of offers whose replies are kept for repeated commands.
 const REMEMBERED_OFFERS: usize = 8;
 
 /// States of a command in its reply.
 pub mod state {
-    /// The command took effect, or had done so before.
+    /// The command took effect, now or when it was first received.
     pub const DONE: u32 = 0;
     /// The command is not finished; the operator's tool repeats it.
     pub const PENDING: u32 = 1;
-    /// The command was rejected.
+    /// The command was rejected and had no effect; the reply holds the reason.
     pub const REJECTED: u32 = 2;
 }
 
@@ -64,7 +65,8 @@
 pub enum CommandAction {
     /// Send this reply to the operator.
     Reply(CommandReply),
-    /// Have the host check an offer. Until it has, the command is answered with [`state::PENDING`].
+    /// Have the host check an offer. Until the host has reported the result, the command is
+    /// answered with [`state::PENDING`].
     CheckOffer {
         /// The number of the check, passed to [`OperatorCommands::offer_checked`].
         check: u64,
@@ -75,9 +77,9 @@
     },
     /// End a rollout.
     End {
-        /// The rollout to end.
+        /// The rollout to halt or roll back.
         id: RolloutId,
-        /// The outcome to set.
+        /// The outcome to set: halted or rolled back.
         outcome: Outcome,
         /// The reason, as given by the operator.
         why: String,
@@ -92,7 +94,7 @@
     check_count: u64,
 }
 
-/// How long a check may take before a repeated offer starts another one.
+/// How long the check of an offer may take before a repeated offer starts another check.
 const CHECK_TIMEOUT: Nanos = 20 * SECOND;
 
 impl OperatorCommands {
--- a/crates/rollout/src/participant.rs
+++ b/crates/rollout/src/participant.rs
@@ -1,5 +1,5 @@
-//! A node's complete part in rollouts of one kind: its agent, its voter state with metrics and
-//! coordination, and the operator commands that it receives.
+//! Everything that a node does in rollouts of one kind: its node agent, its state as a voter and
+//! coordinator with the metrics, and the operator commands that it receives.
 
 use crate::coordinator::{Coordinator, CoordinatorAction};
 use crate::host::Host;
@@ -22,11 +22,11 @@
 pub struct Participant<H: Host> {
     /// Fetches, checks and runs versions at this node.
     pub agent: NodeAgent<H>,
-    /// The voter state; inactive if this node is not a voter.
+    /// The state as a voter and coordinator; unused while this node is not a voter.
     pub coordinator: Coordinator,
-    /// The plan of rollouts that operators offer at this node.
+    /// The plan for rollouts that operators offer at this node from now on.
     pub plan: Plan,
-    /// The state of operator commands.
+    /// The state of the operator commands to this node.
     commands: OperatorCommands,
     /// The length of a window of counts, in milliseconds.
     window_ms: u64,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Offers a rollout whose content has been checked to the cluster.
+    /// Offers a rollout to the cluster. The rollout's content must have been checked.
     pub fn offer(&mut self, now: Nanos, rollout: Rollout, content: Option<Vec<u8>>) {
         self.agent.offer(now, rollout, content);
     }
--- a/crates/rollout/src/paxos.rs
+++ b/crates/rollout/src/paxos.rs
@@ -1,12 +1,12 @@
 //! Agreement of the voters on the next progress of a rollout: a sequence of single-decree Paxos
 //! instances (Lamport, "Paxos Made Simple"). Each agreement has a number, and only voters that know
-//! all earlier agreements vote on the next one. So each number has at most one agreement, however
-//! many coordinators are active at once, and at most one side of a network split continues.
+//! all earlier agreements vote on the next agreement. So each number has at most one agreement,
+//! however many coordinators are active at once, and at most one side of a network split continues.
 //!
 //! A vote is on the voter's disk before it is sent. A voter does not accept a new proposal for a
-//! rollout that it knows to be halted. A proposal that may have been agreed on already is carried
-//! through even then, because the numbers of agreements must have no gaps; no node starts a trial
-//! by it, as the rollout is halted.
+//! rollout that it knows to be halted. A proposal that may have been agreed on already is completed
+//! even for such a rollout, because the numbers of agreements must have no gaps. No node starts a
+//! trial by that agreement, as the rollout is halted.
 
 use crate::identifiers::{Kind, RolloutId};
 use crate::rollout::Outcome;
@@ -21,16 +21,17 @@
 /// Identifies a round of voting; a higher ballot takes precedence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ballot {
-    /// The number of the round.
+    /// The number of the round; a coordinator's next round has a higher number than any ballot that
+    /// it has seen.
     pub round: u64,
-    /// The key of the coordinator that runs the round.
+    /// The key of the coordinator that runs the round; decides between equal round numbers.
     pub by: u64,
 }
 
 /// A proposed progress of a rollout, which the voters vote on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Proposal {
-    /// The rollout that advances.
+    /// The rollout that advances with the proposal.
     pub rollout: RolloutId,
     /// The proposed progress, which includes the number of the agreement.
     pub progress: Progress,
@@ -39,11 +40,11 @@
 /// A voter's promise and vote on the next agreement.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Vote {
-    /// The number of the agreement that the vote is for.
+    /// The number of the agreement (Paxos instance) that the promise and the vote are for.
     pub agreement: u64,
     /// The voter refuses rounds with a lower ballot than this.
     pub promised: Ballot,
-    /// The proposal that the voter voted for, and the ballot of that round.
+    /// The proposal that the voter voted for, and the ballot of that round; `None` without a vote.
     pub accepted: Option<(Ballot, Proposal)>,
 }
 
@@ -52,18 +53,19 @@
 pub enum PaxosRequest {
     /// Promise to refuse rounds with a lower ballot, and return the proposal voted for before.
     Prepare {
-        /// The number of the agreement.
+        /// The number of the agreement that the voters are asked to promise for.
         agreement: u64,
-        /// The ballot of the round.
+        /// The ballot of the round; the voter is to refuse lower ballots from now on.
         ballot: Ballot,
     },
     /// Vote for this proposal.
     Accept {
-        /// The ballot of the round.
+        /// The ballot of the round that a majority has promised.
         ballot: Ballot,
         /// The proposal to vote for.
         proposal: Proposal,
-        /// Whether a voter has already voted for the proposal in an earlier round.
+        /// True if a voter has already voted for the proposal in an earlier round, so that it may
+        /// have been agreed on.
         again: bool,
     },
 }
@@ -73,41 +75,43 @@
 pub enum PaxosReply {
     /// The voter gives the requested promise.
     Promised {
-        /// The number of the agreement.
+        /// The number of the agreement, as in the request.
         agreement: u64,
-        /// The ballot of the round.
+        /// The ballot of the round, as in the request.
         ballot: Ballot,
-        /// The proposal that the voter voted for before, and the ballot of that round.
+        /// The proposal that the voter voted for before, and the ballot of that round; `None` if
+        /// the voter has not voted on this agreement.
         accepted: Option<(Ballot, Proposal)>,
     },
     /// The voter votes for the proposal.
     Accepted {
-        /// The number of the agreement.
+        /// The number of the agreement, as in the request.
         agreement: u64,
-        /// The ballot of the round.
+        /// The ballot of the round, as in the request.
         ballot: Ballot,
     },
     /// The voter has promised a higher ballot, or its rollout table forbids the proposal.
     Refused {
-        /// The number of the agreement.
+        /// The number of the agreement, as in the request.
         agreement: u64,
-        /// The ballot of the round.
+        /// The ballot of the round, as in the request.
         ballot: Ballot,
         /// The highest ballot that the voter has promised.
         promised: Ballot,
     },
 }
 
-/// A voter's action on a request.
+/// The action of a voter after a coordinator's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VoterAction {
     /// Send this reply at once.
     Reply(PaxosReply),
     /// Write the vote to disk, then send the reply.
     Persist(Vote, PaxosReply),
-    /// The voter lacks earlier agreements: request them from the coordinator.
+    /// The voter lacks earlier agreements: request the rollouts from the coordinator.
     Behind,
-    /// The agreement of this number is already known: send the rollouts to the coordinator.
+    /// The voter already knows the agreement of this number: send the known rollouts to the
+    /// coordinator.
     Ahead,
 }
 
@@ -122,7 +126,7 @@
 }
 
 impl Vote {
-    /// Decides on a request by this vote and the rollouts that the voter knows.
+    /// Decides on a coordinator's request by this vote and the rollouts that the voter knows.
     pub fn handle_request(
         &self,
         rollouts: &RolloutTable,
@@ -136,8 +140,8 @@
             } => (proposal.progress.agreement, *ballot),
         };
         let last_agreement = last_agreement(rollouts, kind);
-        // A proposal that this voter voted for earlier may have been agreed on. It must not vote on
-        // later agreements before it knows the result.
+        // A proposal that this voter voted for earlier may have been agreed on. The voter must not
+        // vote on later agreements before it knows whether that proposal was agreed on.
         if agreement > last_agreement + 1 {
             return VoterAction::Behind;
         }
@@ -178,7 +182,7 @@
     }
 
     /// Votes for a proposal. A new proposal must be for a rollout that has neither ended nor been
-    /// halted, while no other rollout is in progress; a proposal that may have been agreed on
+    /// halted, and no other rollout may be in progress. A proposal that may have been agreed on
     /// already is accepted regardless.
     fn accept(
         mut self,
@@ -211,7 +215,7 @@
 /// A coordinator's round of voting.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PaxosRound {
-    /// The ballot of the round.
+    /// The ballot of the round, which identifies the replies that count.
     pub ballot: Ballot,
     /// The number of the agreement that the round is for.
     pub agreement: u64,
@@ -219,15 +223,15 @@
     since: Nanos,
     /// Number of voters that form a majority.
     majority: usize,
-    /// The coordinator's own proposal.
+    /// The coordinator's own proposal; a proposal that a voter has voted for takes precedence.
     preferred: Proposal,
-    /// Promises by voter, with the proposal that each had voted for.
+    /// Promises by voter, with the proposal that the voter had voted for and its ballot, if any.
     promised: BTreeMap<u64, Option<(Ballot, Proposal)>>,
-    /// The proposal that the voters were asked to vote for.
+    /// The proposal that the voters were asked to vote for; `None` before a majority has promised.
     proposed: Option<Proposal>,
     /// Voters that voted for the proposal.
     accepted: BTreeSet<u64>,
-    /// Voters that refused.
+    /// Voters that refused a request of this round.
     refused: BTreeSet<u64>,
     /// The highest ballot seen in replies.
     highest: Ballot,
@@ -276,7 +280,8 @@
         now > self.since + ROUND_TIMEOUT
     }
 
-    /// Returns the rollout of the proposal that the round carries through.
+    /// Returns the rollout of the proposal that the voters are asked to vote for, or of the
+    /// coordinator's own proposal before that.
     pub fn rollout(&self) -> RolloutId {
         self.proposed.as_ref().unwrap_or(&self.preferred).rollout
     }
--- a/crates/rollout/src/paxos/tests.rs
+++ b/crates/rollout/src/paxos/tests.rs
@@ -142,7 +142,7 @@
         voters.votes[0].handle_request(&voters.rollouts[0], KIND, &request),
         VoterAction::Ahead
     );
-    // A rollout gets no votes to begin while another is in progress.
+    // A rollout gets no votes to begin while another rollout is in progress.
     let mut voters = ThreeVoters::new(&[1, 2]);
     voters.rollouts.iter_mut().for_each(|rollouts| {
         rollouts.advance(
--- a/crates/rollout/src/persisted_state.rs
+++ b/crates/rollout/src/persisted_state.rs
@@ -1,10 +1,10 @@
-//! The state that a node persists about its versions, so that it starts on the right one after any
-//! failure: a small file that is written whole under another name, synced and renamed.
-//! `docs/design/rollout.md` specifies the format.
+//! The state that a node persists about its versions, so that the node starts on the right version
+//! after any failure. The state is a small file that is written completely under another name,
+//! synced and renamed. `docs/design/rollout.md` specifies the format.
 //!
-//! Rules: a trial is written before it is applied. A file that names a trial at the start means
-//! that the node crashed on trial: the node starts on the last promoted version and tries the
-//! crashed one again later, a bounded number of times (`node_agent`).
+//! Rules: a trial is written to the file before its version is applied. If the file names a trial
+//! when the node starts, the node crashed on that trial. The node then starts on the last promoted
+//! version, and tries the crashed version again later, a bounded number of times (`node_agent`).
 
 use crate::identifiers::{Kind, RolloutId, Version};
 use crate::messages::{self, RolloutWire, VoteWire};
@@ -13,9 +13,9 @@
 use prost::Message;
 
 const MAGIC: [u8; 4] = *b"mpv1";
-/// Number of rejected versions that are kept; the oldest are dropped.
+/// Maximum number of entries in [`PersistedState::rejected`]; the oldest entries are dropped.
 const MAX_REJECTED: usize = 16;
-/// Maximum size of the file, in bytes.
+/// Maximum size of an encoded state, in bytes.
 pub const MAX_FILE_BYTES: usize = 4096;
 
 /// A version on trial, as recorded on disk before it is applied.
@@ -32,13 +32,13 @@
 /// The persisted state of one kind of rollouts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// The kind of the versions.
+    /// Whether the versions are of the settings or of the program.
     pub kind: Kind,
     /// The last promoted version; `None` before the first promotion.
     pub promoted: Option<Version>,
-    /// The version promoted before that, whose content is kept.
+    /// The version promoted before `promoted`, whose content is kept on disk for a rollback.
     pub previous: Option<Version>,
-    /// The trial in progress.
+    /// The trial in progress; `None` while the node runs a promoted version.
     pub trial: Option<Trial>,
     /// Versions that crashed, were rejected or were rolled back at this node, with the number of
     /// their crashes.
@@ -46,9 +46,10 @@
     /// The rollout of the last agreement, so that a cluster whose nodes all restart at once
     /// continues with it.
     pub head: Option<Rollout>,
-    /// The node's vote as a voter.
+    /// The node's last promise and vote as a voter; `None` if it has never promised or voted.
     pub vote: Option<Vote>,
-    /// The number of the last agreement on which this node abstains as a voter.
+    /// The number of the last agreement on which this node abstains as a voter, after a possible
+    /// loss of its vote; 0 if none.
     pub abstains_to: u64,
 }
 
@@ -59,12 +60,13 @@
     NotPersistedState,
     /// The checksum does not match, or the body cannot be decoded.
     Damaged,
-    /// The format is of a newer version of the program.
+    /// The file was written by a newer version of the program in a format that this version cannot
+    /// read.
     NewerFormat,
 }
 
 impl PersistedStateError {
-    /// Returns the description for log lines.
+    /// Returns a short description of the error for log lines and errors.
     pub fn word(self) -> &'static str {
         match self {
             PersistedStateError::NotPersistedState => "truncated or not a persisted state",
@@ -158,7 +160,7 @@
         file
     }
 
-    /// Decodes a file.
+    /// Decodes a file that [`PersistedState::encode`] returned.
     pub fn decode(bytes: &[u8]) -> Result<PersistedState, PersistedStateError> {
         let field = |at: usize| bytes.get(at..at + 4).and_then(|four| four.try_into().ok());
         let (Some(magic), Some(length), Some(crc)) = (field(0), field(4), field(8)) else {
@@ -206,10 +208,10 @@
     }
 
     /// Returns the versions on which the node may start, in order of preference, and the trial that
-    /// crashed, if any; its crash is counted. `given` is the version that the operator installed.
-    /// It comes first only if its number is higher than that of the last promoted version and this
-    /// node has not rejected it: it may date from the setup of the machine, or have been installed
-    /// by hand during a rollout.
+    /// crashed, if any. Counts the crash of that trial. `given` is the version that the operator
+    /// installed. That version comes first only if its number is higher than the number of the last
+    /// promoted version and this node has not rejected it. The installed version may date from the
+    /// setup of the machine, or have been installed by hand during a rollout.
     pub fn start_candidates(&mut self, given: Version) -> (Vec<Version>, Option<Trial>) {
         let crashed = self.trial.take();
         if let Some(trial) = crashed {
@@ -243,7 +245,8 @@
         }
     }
 
-    /// Records that this node must not run a version, with the number of its crashes.
+    /// Records that this node must not run a version, with the number of the version's crashes at
+    /// this node.
     pub fn reject(&mut self, version: Version, crashes: u32) {
         self.rejected.retain(|(v, _)| *v != version);
         self.rejected.push((version, crashes));
@@ -256,7 +259,8 @@
         self.rejected.iter().any(|(v, _)| *v == version)
     }
 
-    /// Returns how often a version crashed at this node.
+    /// Returns how often a version crashed on trial at this node; 0 if the version is not in
+    /// [`PersistedState::rejected`].
     pub fn crashes(&self, version: Version) -> u32 {
         self.rejected
             .iter()
--- a/crates/rollout/src/process_handover.rs
+++ b/crates/rollout/src/process_handover.rs
@@ -4,8 +4,8 @@
 //!
 //! Rules: the old process is told to leave only once the new one serves and has been told that it
 //! is in charge. So there is always a serving process that has not been told to leave, except while
-//! a crashed one is being restarted. Only the process in charge may have the persisted state
-//! written.
+//! a crashed process is being restarted. Only the process in charge may have the persisted state
+//! written, or the starting process while no process is in charge.
 
 use crate::host_error::HostError;
 use crate::identifiers::Version;
@@ -13,27 +13,29 @@
 use crate::{Nanos, SECOND};
 use std::collections::BTreeMap;
 
-/// Identifies a process that the supervisor started; numbered from 1.
+/// Identifies a process that the supervisor started. Processes are numbered from 1 in the order of
+/// their starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Child(pub u64);
 
 /// The instructions that a process gets at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartInstructions {
-    /// The persisted state.
+    /// The persisted state that the process begins with.
     pub persisted: PersistedState,
     /// The version that the process runs.
     pub version: Version,
     /// The trial that crashed before this start, if any.
     pub crashed: Option<Trial>,
-    /// Whether the disk was empty.
+    /// True if the disk was empty when the supervisor started and no process has served since.
     pub disk_was_empty: bool,
-    /// Whether another process is serving; if so, this one waits until it is told that it is in
-    /// charge.
+    /// True if another process is serving. The started process then waits until it is told that it
+    /// is in charge.
     pub another_process_serves: bool,
 }
 
-/// Side effects of the supervisor.
+/// The interface between a [`Supervisor`] and its embedder, which starts and signals processes and
+/// writes to disk.
 pub trait ProcessHost {
     /// Starts a process. [`Supervisor::ready`] and [`Supervisor::ended`] report its further course.
     fn start(&mut self, child: Child, instructions: &StartInstructions) -> Result<(), HostError>;
@@ -50,7 +52,7 @@
     /// Checks that a version is installed on this machine. Otherwise returns why it cannot be
     /// started.
     fn has(&mut self, version: Version) -> Result<(), HostError>;
-    /// Answers the request with this number of a process.
+    /// Answers the request with the number `request` of the process `child`.
     fn answer(&mut self, child: Child, request: u64, result: Result<(), HostError>);
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
@@ -58,9 +60,10 @@
 
 /// How long a new process may take to become ready before it is killed.
 const READY_TIMEOUT: Nanos = 30 * SECOND;
-/// Time before the restart of a process that crashed soon after its start; doubled each time.
+/// Time before the restart of a process that crashed soon after its start; doubled with each
+/// further quick crash or failed start.
 const MIN_RESTART_DELAY: Nanos = SECOND;
-/// Maximum time before a restart.
+/// Maximum time before a restart, however many quick crashes came before.
 const MAX_RESTART_DELAY: Nanos = 30 * SECOND;
 /// A crash this long after the process became ready does not count as a quick crash.
 const STABLE_AFTER: Nanos = 60 * SECOND;
@@ -84,33 +87,33 @@
 
 /// The supervisor of a node's processes.
 pub struct Supervisor<H: ProcessHost> {
-    /// The embedder's side effects.
+    /// The embedder, which carries out the supervisor's side effects.
     pub host: H,
-    /// The persisted state on disk.
+    /// The state of the node's versions as last written to disk; given to each started process.
     persisted: PersistedState,
-    /// Whether the disk was empty when the supervisor started; cleared once a process serves.
+    /// True if the disk was empty when the supervisor started; cleared once a process serves.
     disk_was_empty: bool,
     /// The version that the operator installed to start on.
     given: Version,
     /// How long a process may take to leave before it is killed.
     stop_timeout: Nanos,
-    /// The process in charge.
+    /// The process that serves and may have the persisted state written; `None` while none serves.
     in_charge_process: Option<Process>,
-    /// The process that has been started and does not serve yet.
+    /// The process that has been started and does not serve yet, if any.
     starting: Option<Starting>,
     /// Processes that have been told to leave.
     leaving: Vec<Process>,
-    /// Number of processes started so far; the last one has this number.
+    /// Number of processes started so far, which is the number of the last started process.
     child_count: u64,
-    /// The trial that crashed; cleared once a process serves.
+    /// The trial that crashed before the next start; cleared once a process serves.
     crashed: Option<Trial>,
-    /// The earliest time of the next start.
+    /// The earliest time at which the next process may be started.
     not_before: Nanos,
     /// Number of consecutive quick crashes and failed starts.
     quick_crashes: u32,
     /// Quick crashes by version; a failed start counts as [`MAX_QUICK_CRASHES`].
     failures: BTreeMap<Version, u32>,
-    /// Whether the supervisor is stopping.
+    /// True once [`Supervisor::leave`] was called; no process is started from then on.
     is_stopping: bool,
 }
 
@@ -159,7 +162,8 @@
             && self.leaving.is_empty()
     }
 
-    /// Starts a process if there is none, of the first start candidate that is installed.
+    /// Starts a process of the first installed start candidate, unless a process is in charge or
+    /// being started.
     fn start_if_none(&mut self, now: Nanos) {
         if self.is_stopping
             || self.in_charge_process.is_some()
@@ -243,7 +247,8 @@
 
     // ---- Events of processes ----
 
-    /// Reports that a process serves: it takes charge, and the previous process is told to leave.
+    /// Handles a process's report that it serves. The process takes charge, and the previous
+    /// process is told to leave.
     pub fn ready(&mut self, now: Nanos, child: Child) {
         let Some(starting) = self
             .starting
@@ -273,8 +278,8 @@
         }
     }
 
-    /// Handles a process's request to write the persisted state. Only the process in charge may do
-    /// so, or the starting one while no process is in charge.
+    /// Handles a process's request to write the persisted state. Only the process in charge may
+    /// request this, or the starting process while no process is in charge.
     pub fn persist(&mut self, child: Child, request: u64, persisted: PersistedState) {
         let sole_process = self
             .starting
@@ -304,8 +309,8 @@
     }
 
     /// Handles a request of the process in charge to be replaced by another version. The request is
-    /// answered if it fails or the version already runs; otherwise the process is told to leave
-    /// once the new one serves.
+    /// answered only if it fails or the version already runs. Otherwise the process is told to
+    /// leave once the new process serves.
     pub fn apply(&mut self, now: Nanos, child: Child, request: u64, version: Version) {
         let Some(in_charge_process) = self
             .in_charge_process
@@ -351,7 +356,7 @@
         }
     }
 
-    /// Reports that a process ended; `how` is shown in the log.
+    /// Handles the end of a process; `how`, such as the exit status, is shown in the log.
     pub fn ended(&mut self, now: Nanos, child: Child, how: &str) {
         if let Some(at) = self
             .leaving
@@ -387,8 +392,8 @@
             } else {
                 self.quick_crashes = 1; // the first restart is immediate
             }
-            // A process that is being started takes charge once it serves; otherwise one is started
-            // now.
+            // A process that is being started takes charge once it serves. If none is being
+            // started, one is started now.
             self.start_if_none(now);
         }
     }
--- a/crates/rollout/src/process_handover/tests.rs
+++ b/crates/rollout/src/process_handover/tests.rs
@@ -269,8 +269,9 @@
     );
 }
 
-/// Random events in any order: once a process has served, there is always one that serves and was
-/// not told to leave, one that is being started, or a pause before the next start.
+/// Random events in any order. Once a process has served, one of three conditions always holds: a
+/// process serves and was not told to leave, a process is being started, or the pause before the
+/// next start is not over.
 #[test]
 fn some_process_always_serves_or_starts_under_random_events() {
     for seed in 0..400 {
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -2,16 +2,16 @@
 //!
 //! A rollout is a value that merges in any order and any number of times, and never moves back: of
 //! two copies the later agreement determines the progress, and the outcome nearer to safety wins.
-//! So **halting needs no agreement**: a node that halts, rejects or rolls back sets the outcome in
-//! its own copy, and no copy that arrives later undoes it. **Advancing needs a majority**: progress
-//! is numbered, and only a majority of the voters can assign a number (see [`crate::paxos`]), so
-//! that at most one side of a split cluster continues.
+//! So **halting needs no agreement**: a node that halts, rejects or rolls back a rollout sets the
+//! outcome in its own copy, and no copy that arrives later undoes this outcome. **Advancing needs a
+//! majority**: progress is numbered, and only a majority of the voters can assign a number (see
+//! [`crate::paxos`]), so that at most one side of a split cluster continues.
 
 use crate::identifiers::{Kind, RolloutId, Version};
 use crate::splitmix64;
 use crate::stages::{Plan, Progress};
 
-/// Maximum length of a reason, in bytes; longer ones are truncated.
+/// Maximum length of the text of a reason, in bytes; longer texts are truncated.
 pub const MAX_REASON_BYTES: usize = 160;
 
 /// The outcome of a rollout, ordered from the farthest to the nearest to safety.
@@ -22,7 +22,7 @@
     InProgress,
     /// The whole cluster runs the version, which nodes promote.
     Completed,
-    /// The rollout never began: another one did, or a node cannot run the version.
+    /// The rollout never began: another rollout began instead, or a node cannot run the version.
     Rejected,
     /// The rollout does not advance; nodes that run the version keep running it.
     Halted,
@@ -49,14 +49,14 @@
     }
 }
 
-/// Why a rollout ended, the node that ended it and when.
+/// Why and when a rollout ended, and the node that ended the rollout.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Reason {
     /// When the rollout ended, in Unix milliseconds.
     pub at_ms: u64,
-    /// The key of the node that ended it.
+    /// The key of the node that ended the rollout.
     pub by: u64,
-    /// The text, at most [`MAX_REASON_BYTES`] long.
+    /// The reason as shown to operators, at most [`MAX_REASON_BYTES`] long.
     pub why: String,
 }
 
@@ -80,7 +80,7 @@
 pub enum Assignment {
     /// The new version of the rollout.
     NewVersion,
-    /// The version that the rollout replaces, or another one that the node ran before.
+    /// The version that the rollout replaces, or another version that the node ran before.
     BaseVersion,
     /// The node keeps the version that it runs.
     Unchanged,
@@ -89,17 +89,17 @@
 /// One rollout of a version of the settings or of the program.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rollout {
-    /// The identifier of the rollout.
+    /// The identifier of the rollout, the same in all copies.
     pub id: RolloutId,
     /// Whether the settings or the program is rolled out.
     pub kind: Kind,
-    /// The new version.
+    /// The version that is rolled out.
     pub version: Version,
-    /// The version that is replaced.
+    /// The version that is replaced, and that the baseline cohort runs.
     pub base: Version,
-    /// SHA-256 digest of the content.
+    /// SHA-256 digest of the version's content, by which nodes check what they fetched.
     pub digest: [u8; 32],
-    /// Length of the content, in bytes.
+    /// Length of the version's content, in bytes.
     pub bytes: u32,
     /// The key of the node that offered the rollout.
     pub by: u64,
@@ -111,13 +111,13 @@
     pub progress: Progress,
     /// The outcome, which only moves towards safety.
     pub outcome: Outcome,
-    /// Why the rollout ended; empty while it has not.
+    /// Why the rollout ended; empty while the rollout is in progress.
     pub reason: Reason,
 }
 
 impl Rollout {
     /// Returns the sort key of rollouts that have not begun: the highest version first, then the
-    /// one offered first.
+    /// rollout that was offered first.
     pub fn order(&self) -> (std::cmp::Reverse<u64>, u64, RolloutId) {
         (std::cmp::Reverse(self.version.number), self.at_ms, self.id)
     }
@@ -158,9 +158,9 @@
         ends
     }
 
-    /// Merges another copy of the same rollout. Returns whether anything in it was new.
+    /// Merges another copy of the same rollout. Returns whether this copy changed.
     pub fn merge(&mut self, other: &Rollout) -> bool {
-        // Of two reasons for the same outcome the earlier one wins, so that all nodes converge.
+        // Of two reasons for the same outcome the earlier reason wins, so that all nodes converge.
         let has_safer_end = other.outcome > self.outcome
             || other.outcome == self.outcome
                 && other.outcome > Outcome::InProgress
@@ -172,8 +172,8 @@
         has_safer_end || is_later
     }
 
-    /// Records progress that the voters agreed on. Returns whether it was new. There is at most one
-    /// agreement of each number.
+    /// Records progress that the voters agreed on. Returns whether the progress was new. There is
+    /// at most one agreement of each number.
     pub(crate) fn record_progress(&mut self, progress: &Progress) -> bool {
         let is_later = progress.agreement > self.progress.agreement;
         if is_later {
--- a/crates/rollout/src/rollout_table.rs
+++ b/crates/rollout/src/rollout_table.rs
@@ -1,4 +1,4 @@
-//! The bounded table of rollouts that a node knows, with the queries that decide which of them the
+//! The bounded table of rollouts that a node knows, with the queries that decide which rollout the
 //! node follows.
 //!
 //! Invariant: which rollouts are retained depends on the copies received and not on their order, so
@@ -10,10 +10,10 @@
 use crate::stages::Progress;
 use std::collections::BTreeMap;
 
-/// Maximum number of rollouts that are kept; the oldest ended ones are removed first.
+/// Maximum number of rollouts in a table; the oldest ended rollouts are removed first.
 pub const MAX_ROLLOUTS: usize = 16;
 
-/// The rollouts that a node knows.
+/// The rollouts that a node knows, at most [`MAX_ROLLOUTS`], by identifier.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RolloutTable {
     all: BTreeMap<RolloutId, Rollout>,
@@ -30,8 +30,8 @@
         self.all.get(&id)
     }
 
-    /// Returns the rollout of the last agreement. It is never removed, so that agreements keep
-    /// their numbers.
+    /// Returns the rollout of the last agreement. That rollout is never removed, so that agreements
+    /// keep their numbers.
     pub fn head(&self, kind: Kind) -> Option<&Rollout> {
         let agreed = self
             .all
@@ -40,7 +40,7 @@
         agreed.max_by_key(|rollout| rollout.progress.agreement)
     }
 
-    /// Merges a copy of a rollout. Returns whether anything in it was new.
+    /// Merges a copy of a rollout. Returns whether the copy changed the table.
     pub fn merge(&mut self, other: &Rollout) -> bool {
         if let Some(known) = self.all.get_mut(&other.id) {
             return known.merge(other);
@@ -76,15 +76,15 @@
             .is_some_and(|rollout| rollout.end(outcome, reason))
     }
 
-    /// Records progress that the voters agreed on. Returns whether it was new.
+    /// Records progress that the voters agreed on. Returns whether the progress was new.
     pub fn advance(&mut self, id: RolloutId, progress: &Progress) -> bool {
         self.all
             .get_mut(&id)
             .is_some_and(|rollout| rollout.record_progress(progress))
     }
 
-    /// Returns the rollout in progress. There may seem to be two while this node has not received
-    /// the end of one of them; the one with the later agreement is returned.
+    /// Returns the rollout in progress. While this node has not received the end of a rollout, two
+    /// rollouts may seem to be in progress. The rollout with the later agreement is returned.
     pub fn in_progress(&self, kind: Kind) -> Option<&Rollout> {
         self.all
             .values()
@@ -103,8 +103,8 @@
             .min_by_key(|rollout| rollout.order())
     }
 
-    /// Returns the rollout that a node follows: the one in progress, else the last one that is
-    /// halted, else the next one.
+    /// Returns the rollout that a node follows: the rollout in progress, else the last halted
+    /// rollout, else the rollout that begins next.
     pub fn current(&self, kind: Kind) -> Option<&Rollout> {
         let halted = || {
             let halted = self
@@ -125,7 +125,8 @@
             .fold(0, |sum, rollout| sum.wrapping_add(rollout.fingerprint()))
     }
 
-    /// Removes rollouts that ended longer than `retention` ago, except for the last agreed ones.
+    /// Removes rollouts that ended longer than `retention` ago. The rollouts of the last agreement
+    /// of each kind are kept.
     pub fn remove_expired(&mut self, now_ms: u64, retention: Nanos) {
         let retention_ms = retention / crate::MILLISECOND;
         let heads = [Kind::Settings, Kind::Program].map(|kind| self.head(kind).map(|head| head.id));
--- a/crates/rollout/src/simulation/cluster.rs
+++ b/crates/rollout/src/simulation/cluster.rs
@@ -40,25 +40,25 @@
     pub seed: u64,
     /// Number of nodes.
     pub nodes: usize,
-    /// Number of zones.
+    /// Number of zones, to which the nodes are assigned in turn.
     pub zones: u32,
     /// Number of voters; the first nodes are the voters.
     pub voters: usize,
     /// Mean number of requests of a node in a window.
     pub requests_per_window: f64,
-    /// Differences between nodes, and trouble that no version causes.
+    /// Differences between nodes, and faults that no version causes.
     pub noise: Noise,
     /// Share of messages that are lost, from 0 to 1.
     pub loss: f64,
     /// Plan of all rollouts.
     pub plan: Plan,
-    /// Method of the canary analysis.
+    /// Method of the canary analysis at all voters.
     pub method: AnalysisMethod,
 }
 
 impl SimulationConfig {
-    /// Creates the configuration of a cluster of this many nodes in three zones, without trouble
-    /// and message loss.
+    /// Creates the configuration of a cluster of this many nodes in three zones, without faults and
+    /// message loss.
     pub fn new(seed: u64, nodes: usize) -> SimulationConfig {
         SimulationConfig {
             seed,
@@ -128,7 +128,7 @@
     }
 }
 
-/// Totals of a simulation so far.
+/// Totals of a simulation since it began.
 #[derive(Clone, Debug, Default)]
 pub struct SimulationTotals {
     /// Priority weight lost to the effects of versions.
@@ -137,15 +137,15 @@
     pub asked: f64,
     /// Pairs of a rolled-out version and a node that ran the version at some time.
     pub ran: BTreeSet<(Version, usize)>,
-    /// Number of messages sent.
+    /// Number of messages that nodes sent, including lost ones.
     pub messages: u64,
-    /// Number of bytes of these messages.
+    /// Number of bytes of the messages that nodes sent.
     pub bytes: u64,
     /// Violated invariants, one text for each violation.
     pub violations: Vec<String>,
 }
 
-/// A simulated cluster.
+/// A simulated cluster with its nodes, network and simulated time.
 pub struct SimulatedCluster {
     config: SimulationConfig,
     nodes: Vec<Node>,
@@ -168,7 +168,7 @@
 }
 
 impl SimulatedCluster {
-    /// Creates a cluster whose nodes all run version 1, and runs it for 5 s.
+    /// Creates a cluster whose nodes all run version 1, and runs the simulation for 5 s.
     pub fn new(config: SimulationConfig) -> SimulatedCluster {
         let load = Load::new(
             config.seed,
@@ -237,7 +237,7 @@
         self.now
     }
 
-    /// Returns the number of nodes, running or not.
+    /// Returns the number of nodes, including nodes that are down.
     pub fn count(&self) -> usize {
         self.nodes.len()
     }
--- a/crates/rollout/src/simulation/cluster/events.rs
+++ b/crates/rollout/src/simulation/cluster/events.rs
@@ -15,10 +15,10 @@
 /// Number of windows whose samples are kept.
 const MAX_WINDOWS: usize = 8;
 
-/// Delay after which the other nodes see that a node became reachable or unreachable.
+/// Delay after which the views of the other nodes show that a node became reachable or unreachable.
 const DETECTION_DELAY: Nanos = 3 * SECOND;
 
-/// An operation that a node has requested from its host.
+/// An operation that a node has requested from its simulated host.
 #[derive(Clone, Debug)]
 pub(super) enum Task {
     Check {
@@ -33,7 +33,7 @@
     Apply(Version),
 }
 
-/// An event at a node.
+/// An event that is delivered to a node at a set simulated time.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     Message { from: usize, bytes: Vec<u8> },
@@ -41,7 +41,7 @@
     Wake,
 }
 
-/// A queued event with its time.
+/// An event in the queue, ordered by simulated time and then by number.
 pub(super) struct QueuedEvent {
     pub(super) at: Nanos,
     pub(super) number: u64,
--- a/crates/rollout/src/simulation/cluster/host.rs
+++ b/crates/rollout/src/simulation/cluster/host.rs
@@ -23,12 +23,12 @@
     pub(super) keys: BTreeSet<u64>,
 }
 
-/// Host of a simulated node.
+/// Host of a simulated node, which queues the node's messages and requested operations.
 pub struct SimHost {
     pub(super) me: u64,
     pub(super) outbox: Vec<(u64, RolloutMessage)>,
     pub(super) tasks: Vec<Task>,
-    /// Lines that the node has logged.
+    /// Lines that the node has logged since its start.
     pub lines: Vec<String>,
     pub(super) attached: NodeReport,
     pub(super) cluster_view: Rc<ClusterView>,
--- a/crates/rollout/src/simulation/cluster/invariants.rs
+++ b/crates/rollout/src/simulation/cluster/invariants.rs
@@ -6,8 +6,9 @@
 use crate::rollout::Outcome;
 
 impl SimulatedCluster {
-    /// Checks that a node may start to run a version: the node has checked it, and, if the version
-    /// is put on trial, no known halt forbids it and the trial is on disk.
+    /// Checks that a node may start to run a version. The node must have checked the version. If
+    /// the version is put on trial, the trial must be on disk, and the node must not know of a halt
+    /// of the rollout.
     pub(super) fn check_apply(&mut self, node: usize, version: Version) {
         let target = &self.nodes[node];
         let Some(participant) = &target.participant else {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Checks the invariants that hold at all times.
+    /// Checks the invariants that hold at all times, and records the violations at this node.
     pub(super) fn check_invariants(&mut self, node: usize) {
         let Some(participant) = &self.nodes[node].participant else {
             return;
--- a/crates/rollout/src/simulation/load.rs
+++ b/crates/rollout/src/simulation/load.rs
@@ -17,8 +17,8 @@
     (12, 0.25, 2000, 450.0),
     (13, 0.05, 6000, 900.0),
 ];
-/// Distribution of latencies: multiples of the typical latency, and the share of requests with
-/// each.
+/// Distribution of latencies: each multiple of the typical latency, and the share of requests with
+/// that latency.
 const LATENCY_DISTRIBUTION: [(f64, f64); 8] = [
     (0.4, 0.1),
     (0.6, 0.15),
@@ -41,12 +41,12 @@
     pub errored: f64,
     /// Additional share of requests that are rejected, from 0 to 1.
     pub rejected: f64,
-    /// Increase of latencies, as a share of them.
+    /// Increase of latencies, as a fraction of the latency on the base.
     pub slowdown: f64,
     /// Number of windows from applying the version to the start of the effect.
     pub delay_windows: u64,
-    /// Rise of memory in each window, as a share of the initial memory. Above three times the
-    /// initial memory, half of the requests fail.
+    /// Rise of resident memory in each window, as a fraction of the initial memory. Above three
+    /// times the initial memory, half of the requests fail.
     pub memory_growth: f64,
     /// Probability that the process crashes in a window.
     pub crash_chance: f64,
@@ -55,7 +55,7 @@
 }
 
 impl Effect {
-    /// No difference from the base.
+    /// A version that does not differ from the base.
     pub const NONE: Effect = Effect {
         operation: None,
         errored: 0.0,
@@ -67,23 +67,24 @@
         rejecting_share: 0.0,
     };
 
-    /// Rejects all requests.
+    /// A version that rejects all requests.
     pub const REJECT_ALL: Effect = Effect {
         rejected: 1.0,
         ..Effect::NONE
     };
 }
 
-/// Differences between nodes, and trouble that no version causes.
+/// Differences between nodes, and faults that no version causes.
 #[derive(Clone, Copy, Debug)]
 pub struct Noise {
     /// Mean share of requests that fail at a node.
     pub failure_share: f64,
-    /// Maximum deviation of a node's share of failures from the mean, as a share of the mean.
+    /// Maximum deviation of a node's share of failed requests from `failure_share`, as a fraction
+    /// of `failure_share`.
     pub failure_spread: f64,
-    /// Share of machines that are slow.
+    /// Share of machines that are slow, from 0 to 1.
     pub slow_share: f64,
-    /// Increase of latencies on slow machines, as a share of them.
+    /// Increase of latencies on slow machines, as a fraction of the latency on other machines.
     pub slowdown: f64,
     /// Probability that a fault of a zone begins in a window; a fault lasts from 3 to 29 windows.
     pub zone_fault_chance: f64,
@@ -94,7 +95,8 @@
 }
 
 impl Noise {
-    /// A day with some trouble.
+    /// Usual conditions: machines differ, and zone faults, traffic jumps and crashes happen
+    /// occasionally.
     pub const USUAL: Noise = Noise {
         failure_share: 0.01,
         failure_spread: 0.5,
@@ -104,7 +106,7 @@
         jump_chance: 0.004,
         crash_chance: 0.0001,
     };
-    /// No differences and no trouble, apart from a constant share of failures.
+    /// No differences between nodes and no faults, apart from a constant share of failed requests.
     pub const NONE: Noise = Noise {
         failure_share: 0.01,
         failure_spread: 0.0,
@@ -122,12 +124,13 @@
     slowdown: f64,
 }
 
-/// Returns the key of a node.
+/// Returns the key of the node with this index.
 pub(super) fn key(node: usize) -> u64 {
     splitmix64(node as u64 + 1)
 }
 
-/// Load of a cluster.
+/// Load of a simulated cluster, and the random state from which the counts of each window are
+/// drawn.
 #[derive(Clone, Debug)]
 pub struct Load {
     rng: Pcg64Mcg,
@@ -139,12 +142,12 @@
     jump: (u64, f64),
 }
 
-/// The version that a node runs in a window, and for how long.
+/// The version that a node runs in a window, and for how many windows it has run.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeRun {
-    /// Hash of the version.
+    /// Hash of the version that the node runs.
     pub version_hash: u64,
-    /// Effect of the version.
+    /// Effect of the version that the node runs.
     pub effect: Effect,
     /// Number of windows since the version was applied.
     pub windows_since_apply: u64,
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Returns the zone of a node.
+    /// Returns the number of the zone of the node with this index.
     pub fn zone(&self, node: usize) -> u32 {
         node as u32 % self.zones
     }
--- a/crates/rollout/src/simulation/trial.rs
+++ b/crates/rollout/src/simulation/trial.rs
@@ -1,6 +1,6 @@
-//! The stages of a rollout without the messages between nodes: when a stage is analysed and with
-//! which result, over many rollouts by seed. Used for tables of good rollouts that are stopped,
-//! harm that is missed, and the cost of bad rollouts.
+//! Simulates the stages of a rollout without the messages between nodes: when a stage is analysed
+//! and with which result, over many rollouts by seed. Used for tables of how many good rollouts are
+//! stopped, how many harmful ones pass, and what bad rollouts cost.
 
 use super::load::{Effect, Load, NodeRun, Noise, WINDOW, key};
 use crate::canary_analysis::{AnalysisMethod, CrashCounts, Verdict, analyse};
@@ -9,44 +9,45 @@
 use crate::stages::{NextAgreement, Plan, Progress, Stage};
 use crate::{Nanos, splitmix64};
 
-/// How a version is rolled out.
+/// Way in which a version is rolled out in a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutMode {
-    /// In stages, analysed by this method.
+    /// The version is rolled out in stages, which are analysed by this method.
     Staged(AnalysisMethod),
-    /// At all nodes at once, without stages. Rolled back if the share of successes is lower than
-    /// before by more than the plan's margin for two windows in a row.
+    /// The version is applied at all nodes at once, without stages. It is rolled back if the share
+    /// of successful requests is lower than before by more than the plan's margin for two windows
+    /// in a row.
     AllAtOnce,
 }
 
-/// Result of a trial.
+/// Result of the simulated rollout of one version with one seed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrialResult {
-    /// Whether the rollout was stopped.
+    /// True if the rollout was halted or rolled back before it was completed.
     pub stopped: bool,
     /// Name of the comparison that showed the harm, or [`NO_VERDICT`]; empty if the rollout was not
     /// stopped, and for [`RolloutMode::AllAtOnce`].
     pub reason: &'static str,
-    /// Last stage that was reached, from 1.
+    /// Last stage that the rollout reached, from 1.
     pub stage: u32,
     /// Duration of the rollout in nanoseconds.
     pub time: Nanos,
-    /// Priority weight lost to the effect of the version.
+    /// Priority weight of requests lost to the effect of the new version, over the whole rollout.
     pub cost: f64,
     /// Mean priority weight of all requests to the cluster in a window.
     pub asked: f64,
 }
 
-/// Configuration of a trial.
+/// Configuration of simulated rollouts; the seed is passed to [`Trial::run`].
 #[derive(Clone, Debug)]
 pub struct Trial {
-    /// Number of nodes.
+    /// Number of nodes of the cluster.
     pub nodes: usize,
-    /// Number of zones.
+    /// Number of zones of the cluster.
     pub zones: u32,
     /// Mean number of requests of a node in a window.
     pub requests_per_window: f64,
-    /// Differences between nodes, and trouble that no version causes.
+    /// Differences between nodes, and faults that no version causes.
     pub noise: Noise,
     /// Plan of the rollout.
     pub plan: Plan,
@@ -65,7 +66,7 @@
 const ALL_AT_ONCE_WINDOWS: u64 = 60;
 
 impl Trial {
-    /// Runs the trial with this seed.
+    /// Simulates the rollout with this seed. The same seed gives the same result.
     pub fn run(&self, seed: u64) -> TrialResult {
         let mut load = Load::new(
             seed,
@@ -235,7 +236,7 @@
     load: &'a mut Load,
     metrics: CohortMetrics,
     method: AnalysisMethod,
-    /// Number of the next window.
+    /// Number of the window that is simulated next.
     window: u64,
     /// Window in which the rollout began.
     first_window: u64,
--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -15,31 +15,34 @@
 pub const MAX_STAGES: usize = 12;
 /// Maximum number of zones with a threshold; nodes of further zones are in the last stage only.
 pub const MAX_ZONES: usize = 24;
-/// A zone with at most this many nodes has one node in the stages before the last.
+/// Maximum size in nodes of a small zone, which has at most one node in the stages before the last.
 const SMALL_ZONE_NODES: usize = 3;
 
-/// Why a plan is not valid.
+/// Bound that a plan violates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// The number of stages is out of bounds.
-    #[error("{0} stages, must be 1 to {MAX_STAGES}")]
+    /// The plan has no stages, or more than [`MAX_STAGES`].
+    #[error("plan has {0} stages, must have 1 to {MAX_STAGES}")]
     StageCount(usize),
-    /// The share of a stage is not larger than that of the stage before.
+    /// The share of nodes in a stage is not larger than in the stage before.
     #[error("each stage must be larger than the one before")]
     StageNotLarger,
-    /// The last stage does not include the whole cluster.
+    /// The last stage does not include all nodes of the cluster.
     #[error("the last stage must be the whole fleet")]
     LastStageNotWhole,
     /// The minimum duration of a stage exceeds its maximum duration.
     #[error("a stage lasts {} s at least and {} s at most", min / SECOND, max / SECOND)]
     Durations {
-        /// The minimum duration, in nanoseconds.
+        /// The minimum duration of the first such stage, in nanoseconds.
         min: Nanos,
-        /// The maximum duration, in nanoseconds.
+        /// The maximum duration of the first such stage, in nanoseconds.
         max: Nanos,
     },
-    /// The maximum share of a zone or the margin is out of bounds.
-    #[error("a share of a zone is from 0.001 to 1, a margin from 0.001 to 0.5")]
+    /// The maximum share of a zone's nodes in a stage, or the margin of the analysis, is out of
+    /// bounds.
+    #[error(
+        "the maximum share of a zone must be from 0.001 to 1, and the margin from 0.001 to 0.5"
+    )]
     Shares,
 }
 
@@ -50,8 +53,8 @@
     pub share_permille: u32,
     /// The minimum duration of the stage, in nanoseconds.
     pub min_duration: Nanos,
-    /// The maximum duration of the stage, in nanoseconds; without a verdict the rollout is halted
-    /// then.
+    /// The maximum duration of the stage, in nanoseconds. A rollout without a verdict by then is
+    /// halted.
     pub max_duration: Nanos,
     /// Minimum number of requests at the canary nodes for a verdict that the stage is fine.
     pub min_requests: u32,
@@ -62,9 +65,9 @@
 /// The stages of a rollout and the bounds of its analysis.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The stages, each larger than the one before.
+    /// The stages in order; each includes more nodes than the stage before.
     pub stages: Vec<Stage>,
-    /// The maximum share of a zone in a stage before the last, in thousandths.
+    /// The maximum share of a zone's nodes in a stage before the last, in thousandths.
     pub max_zone_permille: u32,
     /// The share of priority weight that a version may lose and still be fine, in thousandths.
     pub margin_permille: u32,
@@ -94,7 +97,7 @@
 }
 
 impl Plan {
-    /// Checks the plan against its bounds.
+    /// Checks the plan against the bounds that [`PlanError`] names.
     pub fn check(&self) -> Result<(), PlanError> {
         if self.stages.is_empty() || self.stages.len() > MAX_STAGES {
             return Err(PlanError::StageCount(self.stages.len()));
@@ -147,13 +150,14 @@
     /// The number of the agreement, counted over all rollouts of the same kind; 0 before the first
     /// one.
     pub agreement: u64,
-    /// The stage, counted from 1; one more than the plan's number of stages once completed.
+    /// The stage, counted from 1; one more than the plan's number of stages once the rollout is
+    /// completed.
     pub stage: u32,
     /// The thresholds of the previous stage, by zone.
     pub previous_thresholds: BTreeMap<u32, u64>,
     /// The thresholds of this stage, by zone; no node of a zone without a threshold is included.
     pub thresholds: BTreeMap<u32, u64>,
-    /// Whether the stage includes all nodes of all zones.
+    /// True if the stage includes all nodes of all zones, whatever the thresholds.
     pub whole_cluster: bool,
     /// The agreed number of nodes in the cluster.
     pub cluster_size: u32,
@@ -164,15 +168,15 @@
 /// The inputs from which the next progress of a rollout is computed.
 #[derive(Clone, Copy, Debug)]
 pub struct NextAgreement<'a> {
-    /// The rollout that advances.
+    /// The rollout whose next progress is computed.
     pub rollout: RolloutId,
-    /// The rollout's plan.
+    /// The plan of the rollout, from which the next stage is taken.
     pub plan: &'a Plan,
     /// The present nodes, each with its key and zone.
     pub nodes: &'a [(u64, u32)],
-    /// The number of the agreement.
+    /// The number of the agreement by which the voters assign the progress.
     pub agreement: u64,
-    /// The number of nodes in the cluster to agree on.
+    /// The cluster size in nodes that the voters agree on together with the progress.
     pub cluster_size: u32,
 }
 
@@ -182,7 +186,7 @@
 }
 
 impl Progress {
-    /// Returns whether the stage includes a node.
+    /// Returns whether the stage includes the node with this key in this zone.
     pub fn includes(&self, rollout: RolloutId, node: u64, zone: u32) -> bool {
         self.stage > 0
             && (self.whole_cluster
@@ -192,8 +196,9 @@
                     .is_some_and(|until| node_position(rollout, node) <= *until))
     }
 
-    /// Returns how long after it first saw the stage a node starts, in nanoseconds: nodes of the
-    /// previous stage at once, the others one after the other over `spread`.
+    /// Returns the time from when a node first saw the stage until the node starts the version, in
+    /// nanoseconds. Nodes of the previous stage start at once, the other nodes one after the other
+    /// over the time `spread`.
     pub fn slot(&self, rollout: RolloutId, node: u64, zone: u32, spread: Nanos) -> Nanos {
         let (position, previous) = (
             node_position(rollout, node),
@@ -218,7 +223,7 @@
         self.at_stage(self.stage + 1, agreement)
     }
 
-    /// Returns the progress at the same stage, with other nodes added in place of those that left.
+    /// Returns the progress at the same stage, with other nodes added in place of nodes that left.
     pub fn again(&self, agreement: &NextAgreement<'_>) -> Option<Progress> {
         self.at_stage(self.stage, agreement)
     }
@@ -279,7 +284,8 @@
 
     /// Returns the number of nodes to include in each zone: in proportion to the zones' sizes, with
     /// the rest given to zones by the largest remainder and then by hash. No zone exceeds its
-    /// maximum share unless more of its nodes are already included, and none gets fewer than are.
+    /// maximum share, unless more of the zone's nodes are already included. No zone gets fewer
+    /// nodes than are already included.
     fn spread(
         rollout: RolloutId,
         zones: &BTreeMap<u32, Vec<u64>>,
@@ -321,7 +327,7 @@
                 break;
             };
             *counts.entry(zone).or_default() += 1;
-            // Zones take turns.
+            // Zones take turns: a zone that was given a node goes to the end of the order.
             order.retain(|other| *other != zone);
             order.push(zone);
         }
--- a/crates/rollout/src/stages/tests.rs
+++ b/crates/rollout/src/stages/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// [`Progress::next`] with separate arguments.
+/// Calls [`Progress::next`] with separate arguments instead of a [`NextAgreement`].
 trait NextFor {
     fn next_for(
         &self,
--- a/crates/rollout/src/status.rs
+++ b/crates/rollout/src/status.rs
@@ -15,22 +15,22 @@
 use crate::stages::{Stage, seconds};
 use std::collections::BTreeMap;
 
-/// Maximum number of nodes in a status.
+/// Maximum number of nodes listed in a status.
 const MAX_NODES: usize = 300;
 /// Maximum number of points in time in a status.
 const MAX_POINTS: usize = 180;
 /// Maximum number of comparisons in a status.
 const MAX_FINDINGS: usize = 24;
-/// Upper bound on the evidence in a status; higher values are shown as this one.
+/// Upper bound on the evidence of a comparison in a status; higher evidence is shown as this value.
 const MAX_EVIDENCE: f64 = 1e9;
 
 /// A version in a status.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct VersionStatus {
-    /// Number of the version.
+    /// Number of the version; a later version has a higher number.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Hash of the version.
+    /// First 8 bytes of a hash of the version's content.
     #[prost(fixed64, tag = "2")]
     pub hash: u64,
 }
@@ -65,13 +65,13 @@
     /// Name of the node where the rollout was ended; empty while it is in progress.
     #[prost(string, tag = "9")]
     pub by: String,
-    /// Unix time of the end in milliseconds.
+    /// Unix time in milliseconds at which the rollout ended; 0 while it is in progress.
     #[prost(uint64, tag = "10")]
     pub ended_ms: u64,
     /// Name of the node where the rollout was offered.
     #[prost(string, tag = "11")]
     pub offered_by: String,
-    /// Unix time of the offer in milliseconds.
+    /// Unix time in milliseconds at which the rollout was offered.
     #[prost(uint64, tag = "12")]
     pub offered_ms: u64,
     /// Number of the last agreement about the rollout.
@@ -88,13 +88,13 @@
     /// Name of the node.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Name of the zone.
+    /// Name of the node's zone.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Whether the node is alive.
+    /// True if the node is alive; false if the node was lost without an announcement.
     #[prost(bool, tag = "3")]
     pub present: bool,
-    /// Whether the current stage includes the node.
+    /// True if the current stage of the followed rollout includes the node.
     #[prost(bool, tag = "4")]
     pub in_stage: bool,
     /// Version that the node runs.
@@ -109,7 +109,7 @@
     /// Number of crashes of the version on the node.
     #[prost(uint32, tag = "8")]
     pub crashes: u32,
-    /// Reason why the node rejects the version; empty if it does not.
+    /// Reason why the node rejects the version; empty if the node does not reject the version.
     #[prost(string, tag = "9")]
     pub why: String,
 }
@@ -132,14 +132,14 @@
     /// Excess of the canary's value over the expected one.
     #[prost(double, tag = "5")]
     pub harm: f64,
-    /// Standard error of `harm`.
+    /// Standard error of the field `harm`.
     #[prost(double, tag = "6")]
     pub error: f64,
     /// Evidence for harm, as a likelihood ratio.
     #[prost(double, tag = "7")]
     pub evidence: f64,
     #[prost(double, tag = "8")]
-    /// Margin up to which harm is tolerated.
+    /// Largest tolerated value of the field `harm`; 0 for counts.
     pub margin: f64,
 }
 
@@ -152,25 +152,25 @@
     /// Stage of the rollout in the window, from 1.
     #[prost(uint32, tag = "2")]
     pub stage: u32,
-    /// Number of nodes.
+    /// Number of nodes in each cohort.
     #[prost(uint32, repeated, tag = "3")]
     pub nodes: Vec<u32>,
-    /// Number of requests that arrived.
+    /// Number of requests that arrived at each cohort in the window.
     #[prost(uint64, repeated, tag = "4")]
     pub arrived: Vec<u64>,
-    /// Number of requests that succeeded.
+    /// Number of requests that succeeded in each cohort.
     #[prost(uint64, repeated, tag = "5")]
     pub succeeded: Vec<u64>,
-    /// Number of requests that were rejected.
+    /// Number of requests that each cohort rejected.
     #[prost(uint64, repeated, tag = "6")]
     pub rejected: Vec<u64>,
-    /// Number of requests that failed.
+    /// Number of requests that failed in each cohort.
     #[prost(uint64, repeated, tag = "7")]
     pub errored: Vec<u64>,
-    /// Number of successful requests past their latency objective.
+    /// Number of successful requests past their latency objective in each cohort.
     #[prost(uint64, repeated, tag = "8")]
     pub late: Vec<u64>,
-    /// Mean resident memory in KiB.
+    /// Mean resident memory of the nodes of each cohort, in KiB.
     #[prost(float, repeated, tag = "9")]
     pub memory_kb: Vec<f32>,
 }
@@ -214,13 +214,13 @@
     /// Readable form of the last verdict.
     #[prost(string, tag = "12")]
     pub verdict: String,
-    /// Comparisons behind the last verdict.
+    /// Comparisons that led to the last verdict, strongest evidence first.
     #[prost(message, repeated, tag = "13")]
     pub findings: Vec<ComparisonStatus>,
-    /// Number of requests in this stage: canary, baseline.
+    /// Number of requests that arrived at the canary nodes and at the baseline nodes in this stage.
     #[prost(uint64, repeated, tag = "14")]
     pub sample: Vec<u64>,
-    /// Number of nodes that were compared: canary, baseline.
+    /// Number of canary nodes and of baseline nodes that were compared.
     #[prost(uint64, repeated, tag = "15")]
     pub judged: Vec<u64>,
     /// Counts of both cohorts over time.
@@ -250,7 +250,7 @@
 }
 
 impl VersionStatus {
-    /// Returns the version.
+    /// Returns the number and hash as a [`Version`].
     pub fn version(&self) -> Version {
         Version {
             number: self.number,
@@ -332,8 +332,8 @@
     }
 }
 
-/// Returns the points in time, thinned out evenly if there are more than [`MAX_POINTS`]. The last
-/// point is always included.
+/// Returns the counts of both cohorts over time. If there are more than [`MAX_POINTS`] windows,
+/// windows are left out at even intervals; the last window is always included.
 fn points(coordinator: &Coordinator) -> Vec<CohortPointStatus> {
     let Some(metrics) = coordinator.metrics() else {
         return Vec::new();
@@ -355,7 +355,8 @@
 }
 
 /// Returns the status of a node from the report on its membership entry. While the rollout is in
-/// progress, the node's last reply to this coordinator takes precedence, as the newer one.
+/// progress, the node's last answer to a poll of this coordinator takes precedence, because it is
+/// newer.
 fn node_entry(
     member: &Member,
     attached: Option<&NodeReport>,
--- a/crates/rollout/src/supervisor_messages.rs
+++ b/crates/rollout/src/supervisor_messages.rs
@@ -18,11 +18,11 @@
     pub const BEGIN: u32 = 1;
     /// From the supervisor: the process is now in charge.
     pub const IN_CHARGE: u32 = 2;
-    /// From the supervisor: another process takes over, and this one is to drain and stop.
+    /// From the supervisor: another process takes over, and the receiver is to drain and stop.
     pub const HAND_OVER: u32 = 3;
     /// From the supervisor: the answer to a request.
     pub const DONE: u32 = 4;
-    /// From a process: it is ready to serve.
+    /// From a process: reports that the process is ready to serve.
     pub const READY: u32 = 5;
     /// From a process: requests that its state be persisted.
     pub const PERSIST: u32 = 6;
@@ -41,7 +41,7 @@
     /// Number of a request, repeated in its answer.
     #[prost(uint64, tag = "2")]
     pub request: u64,
-    /// Encoded persisted state.
+    /// Encoded persisted state, as returned by [`PersistedState::encode`].
     #[prost(bytes = "vec", tag = "3")]
     pub persisted: Vec<u8>,
     /// Number of the version that the message is about.
@@ -50,7 +50,7 @@
     /// Hash of the version that the message is about.
     #[prost(fixed64, tag = "5")]
     pub hash: u64,
-    /// Whether the request was rejected.
+    /// True if the request was rejected; `why` then holds the reason.
     #[prost(bool, tag = "6")]
     pub refused: bool,
     /// Reason why the request was rejected.
@@ -68,16 +68,16 @@
     /// Version hash of the trial that crashed.
     #[prost(fixed64, tag = "11")]
     pub died_hash: u64,
-    /// Whether the disk was empty before the start.
+    /// True if the disk was empty before the start of the process.
     #[prost(bool, tag = "12")]
     pub disk_was_empty: bool,
-    /// Whether another process is serving; the started one then waits until it is in charge.
+    /// True if another process is serving; the started process then waits until it is in charge.
     #[prost(bool, tag = "13")]
     pub another_process_serves: bool,
 }
 
 impl SupervisorMessage {
-    /// Creates a message that only has a kind.
+    /// Creates a message that has only a kind, such as [`kind::IN_CHARGE`].
     pub fn plain(kind: u32) -> SupervisorMessage {
         SupervisorMessage {
             kind,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Creates a request about a version.
+    /// Creates the request with the number `request` about a version.
     pub fn about(kind: u32, request: u64, version: Version) -> SupervisorMessage {
         SupervisorMessage {
             kind,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Creates the answer to a request.
+    /// Creates the answer to the request with the number `request`.
     pub fn done(request: u64, result: &Result<(), HostError>) -> SupervisorMessage {
         let why = result
             .as_ref()
@@ -159,7 +159,7 @@
         })
     }
 
-    /// Encodes the message with its length, as sent over the stream.
+    /// Encodes the message, preceded by its length, as sent over the stream.
     pub fn write(&self) -> Vec<u8> {
         let body = crate::messages::later(self.encode_to_vec());
         [&(body.len() as u32).to_le_bytes()[..], &body].concat()
@@ -177,7 +177,7 @@
 pub struct MalformedMessage;
 
 impl MessageReader {
-    /// Appends received bytes.
+    /// Appends bytes that were received from the stream.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
--- a/crates/rollout/tests/golden.rs
+++ b/crates/rollout/tests/golden.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Asserts the same for public Protocol Buffers messages.
+/// Asserts for public Protocol Buffers messages what [`assert_round_trip`] asserts for encoders.
 fn assert_message_round_trip<M: Message + Default + PartialEq + Debug>(
     file: &str,
     all: &[(String, M)],
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -2,9 +2,9 @@
 //! every order of messages that arrive, are late or are lost (a split is a loss of messages),
 //! crashes and restarts of nodes, two concurrent coordinators, and halts at any node. Checked
 //! properties: no two agreements have the same number, so that at most one side of a split
-//! advances; no node runs a version that it has not checked or starts one that it knows to be
-//! halted; every node always has a promoted version. Votes, rounds and rollout tables are those of
-//! the package.
+//! advances; no node runs a version that it has not checked, or starts a version whose rollout it
+//! knows to be halted; every node always has a promoted version. Votes, rounds and rollout tables
+//! are those of the package.
 
 use madderpoint_rollout::identifiers::{Kind, RolloutId, Version};
 use madderpoint_rollout::paxos::{
@@ -46,7 +46,7 @@
     running: u64,
     promoted: u64,
     checked: BTreeSet<u64>,
-    /// Whether the node started a version that it knew to be halted.
+    /// True once the node started a version whose rollout it knew to be halted.
     started_halted: bool,
 }
 
@@ -135,7 +135,7 @@
     crashes: usize,
     /// Nodes that may act as coordinator.
     coordinators: Vec<usize>,
-    /// Whether nodes run agreed versions; otherwise only agreements are modelled.
+    /// True if nodes run agreed versions; false if only agreements are modelled.
     run_versions: bool,
     /// Maximum number of messages in flight.
     max_in_flight: usize,
--- a/crates/test-harness/src/backend_service.rs
+++ b/crates/test-harness/src/backend_service.rs
@@ -15,11 +15,12 @@
 pub struct BackendConfig {
     /// Time from the arrival of a call to its reply.
     pub work: Duration,
-    /// Most calls in flight that the service survives when warm; 0 means no limit.
+    /// Maximum number of calls in flight that do not crash the service when it is warm; 0 means no
+    /// limit.
     pub survives: usize,
-    /// Time that the service is down after a crash.
+    /// Time for which the service is down after a crash.
     pub down: Duration,
-    /// Time from a restart until the service is warm.
+    /// Time from a restart until the service is warm and has its full limit again.
     pub warm: Duration,
 }
 
@@ -35,7 +36,8 @@
     }
 }
 
-/// A temporary impairment of the service: slower or failing calls.
+/// An impairment of the service for a limited time: calls of a zone, or all calls, take longer or
+/// fail.
 #[derive(Clone, Debug)]
 struct Impairment {
     /// Zone whose calls are affected; `None` affects all zones.
@@ -69,7 +71,7 @@
     }
 }
 
-/// A call in flight.
+/// A call that has arrived and is not answered yet.
 struct Call {
     id: String,
     connection: u64,
@@ -85,7 +87,7 @@
     in_flight: HashMap<u64, Call>,
     pending_replies: BinaryHeap<PendingReply>,
     connections: HashMap<u64, TcpStream>,
-    /// The number last assigned to a connection or call.
+    /// The number that was last assigned to a connection or call.
     last_number: u64,
     down_until: Option<Instant>,
     last_restart: Option<Instant>,
@@ -107,18 +109,18 @@
 pub struct BackendRecord {
     /// Number of calls that arrived.
     pub calls: usize,
-    /// Most calls that arrived within any period of one second.
+    /// Maximum number of calls that arrived within any period of one second.
     pub most_in_a_second: usize,
-    /// Most calls in flight at any moment.
+    /// Maximum number of calls in flight at any moment.
     pub most_in_flight: usize,
     /// Number of crashes caused by too many calls in flight.
     pub crashes: usize,
-    /// Connections that were attempted while the service was down.
+    /// Number of connections that were attempted while the service was down.
     pub connections_while_down: usize,
 }
 
 impl BackendService {
-    /// Starts a service that behaves as configured.
+    /// Starts a service with the behaviour `config`.
     pub fn start(config: BackendConfig) -> BackendService {
         let service = BackendService::default();
         service.lock().config = config;
@@ -157,8 +159,8 @@
         self.0.1.notify_all();
     }
 
-    /// Impairs the calls of a zone, or all calls, for the given time: they take `extra_work`
-    /// longer, and a share of them fails.
+    /// Impairs the calls of a zone, or all calls, for the given time. Impaired calls take
+    /// `extra_work` longer, and the share `failure_share` of them fails.
     pub fn impair(
         &self,
         zone: Option<String>,
@@ -185,7 +187,7 @@
             .count()
     }
 
-    /// Returns what the service has recorded so far.
+    /// Returns the calls and crashes that the service has recorded so far.
     pub fn recorded(&self) -> BackendRecord {
         let state = self.lock();
         let (mut first, mut most) = (0, 0);
@@ -337,7 +339,7 @@
         ((0.2 + 0.8 * passed.min(1.0)) * survives as f64).ceil() as usize
     }
 
-    /// Records a call and schedules its reply; crashes the service if too many are in flight.
+    /// Records a call and schedules its reply; crashes the service if too many calls are in flight.
     fn call_arrived(&mut self, connection: u64, id: &str, zone: &str) {
         if self.is_down() {
             return;
--- a/crates/test-harness/src/bin/madderpoint-fault-test.rs
+++ b/crates/test-harness/src/bin/madderpoint-fault-test.rs
@@ -50,16 +50,16 @@
     },
 }
 
-/// Reasons why scenarios could not be played.
+/// Error that ends the command before all scenarios have been played.
 #[derive(Debug, Error)]
 enum RunError {
     #[error("program under test not found: give its file with --exe")]
     NoProgram,
-    #[error("{path}: {source}")]
+    #[error("directory {path} cannot be created: {source}")]
     Directory { path: String, source: io::Error },
     #[error(transparent)]
     Scenario(#[from] ScenarioError),
-    #[error("{file}: {source}")]
+    #[error("scenario {file} cannot be started: {source}")]
     Start { file: String, source: ScenarioError },
 }
 
--- a/crates/test-harness/src/checker.rs
+++ b/crates/test-harness/src/checker.rs
@@ -10,35 +10,35 @@
 #[derive(Debug)]
 struct SentRequest {
     at: Instant,
-    /// Idempotency key, if the request must be executed at most once.
+    /// Idempotency key of the request; `None` if the request may be executed more than once.
     key: Option<String>,
     /// Completion time and status of each answer.
     answers: Vec<(Instant, String)>,
-    /// Whether the client no longer waits, so that a missing answer is allowed.
+    /// True once the client no longer waits, so that a missing answer is allowed.
     has_left: bool,
 }
 
 /// A violated invariant of a request.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum Violation {
-    /// Two requests were sent with the same id.
+    /// Two requests were sent with the same request id.
     #[error("request {request} was sent twice")]
     SentTwice {
-        /// The request's id.
+        /// The id that both requests have.
         request: String,
     },
     /// An answer arrived for a request id that was never sent.
     #[error("request {request} was never sent but got an answer with status {status}")]
     AnsweredUnsent {
-        /// The id in the answer.
+        /// The request id in the answer.
         request: String,
-        /// The answer's status.
+        /// The status of the answer.
         status: String,
     },
     /// A successful answer does not carry the result of the request's execution.
     #[error("request {request} got a body that its execution did not produce: {body:?}")]
     ForeignResult {
-        /// The request's id.
+        /// The id of the request whose answer has the wrong body.
         request: String,
         /// The answer's body.
         body: Vec<u8>,
@@ -46,7 +46,7 @@
     /// The answer arrived after the client timeout.
     #[error("request {request} was answered {elapsed:?} after it was sent")]
     Late {
-        /// The request's id.
+        /// The id of the request that was answered late.
         request: String,
         /// Time from the request's last byte to its complete answer.
         elapsed: Duration,
@@ -54,9 +54,9 @@
     /// A request whose client still waits got no answer, or a request got more than one answer.
     #[error("request {request} got {count} answers instead of 1")]
     AnswerCount {
-        /// The request's id.
+        /// The id of the request with the wrong number of answers.
         request: String,
-        /// Number of answers.
+        /// Number of answers to the request, other than 1.
         count: usize,
     },
     /// The executor was commanded to run a request that no client sent.
@@ -68,13 +68,13 @@
     /// A request was executed although its answer, 429 or 503, promises that it was not.
     #[error("request {request} was executed although its answer was a rejection")]
     RanAfterRejection {
-        /// The request's id.
+        /// The id of the request that was rejected and executed.
         request: String,
     },
     /// Requests with the same idempotency key were executed more than once.
     #[error("idempotency key {key} was executed {count} times")]
     RanAgain {
-        /// The idempotency key.
+        /// The idempotency key that the requests share.
         key: String,
         /// Number of executions that began for the key.
         count: usize,
@@ -92,7 +92,7 @@
 pub type Statuses = BTreeMap<String, usize>;
 
 impl Checker {
-    /// Records that a request's last byte was written; `key` is its idempotency key.
+    /// Records that a request's last byte was written; `key` is the request's idempotency key.
     pub fn sent(&mut self, request_id: &str, key: Option<&str>) {
         let sent = SentRequest {
             at: Instant::now(),
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Records that the client no longer waits, or that a missing answer is excused.
+    /// Records that the client of a request no longer waits, or that a missing answer to the
+    /// request is excused.
     pub fn left(&mut self, request_id: &str) {
         if let Some(sent) = self.sent.get_mut(request_id) {
             sent.has_left = true;
@@ -154,7 +155,8 @@
         }
     }
 
-    /// Checks that each request has exactly one answer, and that it arrived within `timeout`.
+    /// Checks that each request has exactly one answer, and that the answer arrived within
+    /// `timeout`.
     fn check_answers(&mut self, timeout: Duration) -> Statuses {
         let mut statuses = Statuses::new();
         for (request_id, sent) in &self.sent {
--- a/crates/test-harness/src/event_record.rs
+++ b/crates/test-harness/src/event_record.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Most lines in the record; when the record is full, the oldest quarter is dropped.
+/// Maximum number of lines in the record; when the record is full, the oldest quarter is dropped.
 const LINES_MAX: usize = 200_000;
 
 /// A line of the event record.
@@ -16,11 +16,11 @@
     pub at: u128,
     /// The node that logged the line, or the runner (`rig`).
     pub source: String,
-    /// The part of the program that logged the line, or the kind of the runner's note.
+    /// The field `part` of the program's log line, or the kind of the runner's note.
     pub part: String,
     /// The log event's name; empty if the line names none.
     pub event: String,
-    /// The message text.
+    /// The text of the log message or note, without time, source and event name.
     pub message: String,
 }
 
--- a/crates/test-harness/src/executor.rs
+++ b/crates/test-harness/src/executor.rs
@@ -1,7 +1,8 @@
-//! A stand-in for a node's executor. It accepts links, reports gauges, and ends each execution as
-//! the test has set: at once, after a backend call, when released, or with an error.
+//! A stand-in for a node's executor. The stand-in accepts links, reports gauges, and ends each
+//! execution as the test has set: at once, after a backend call, when released, or with an error.
 //!
-//! The fault scenario runner uses it, and tests that exchange more than single protocol lines.
+//! The stand-in is used by the fault scenario runner, and by tests that exchange more than single
+//! protocol lines.
 
 use crate::keys::KeyRecord;
 use base64::Engine;
@@ -33,20 +34,21 @@
     started: Vec<StartedExecution>,
     /// Request ids of executions that wait to be released.
     held: Vec<String>,
-    /// Whether new executions wait to be released.
+    /// True if executions that begin from now on wait to be released.
     holds_new: bool,
-    /// Whether executions make a backend call before they end.
+    /// True if executions that begin from now on make a backend call before they end.
     makes_calls: bool,
     /// Routes of executions that wait for the reply to their backend call, by request id.
     calling: HashMap<String, String>,
-    /// Number of further executions that end as ERROR, by route.
+    /// Number of executions that are still to end as ERROR, by route.
     errors: HashMap<String, usize>,
-    /// Record of executions by key, if they are recorded; request bodies then hold the keys.
+    /// Record of executions by key; `None` if executions are not recorded. If set, request bodies
+    /// hold the keys.
     record: Option<KeyRecord>,
     /// Keys of running executions, by request id.
     running: HashMap<String, String>,
     notice_count: u64,
-    /// The last notices sent, by number, for a link that missed them.
+    /// The last sent notices with their numbers, for a link that missed notices.
     sent_notices: VecDeque<(u64, String)>,
     link: Option<TcpStream>,
 }
@@ -57,7 +59,7 @@
     /// The address to which nodes connect.
     pub address: SocketAddr,
     state: Arc<(Mutex<State>, Condvar)>,
-    /// One stand-in for each link, if several may be open at once.
+    /// One stand-in for each link that was opened, if several links may be open at once.
     links: Arc<Mutex<Vec<Executor>>>,
 }
 
@@ -165,7 +167,8 @@
         changed.notify_all();
     }
 
-    /// Sets whether executions that begin from now on wait; `false` also ends the waiting ones.
+    /// Sets whether executions that begin from now on wait to be released; `false` also ends the
+    /// executions that wait.
     pub fn hold(&self, holds_new: bool) {
         let mut state = self.state.0.lock().unwrap();
         state.holds_new = holds_new;
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Records that a request has ended for its client: its execution ends as STOPPED if it waits
+    /// Records that a request has ended for its client: the execution ends as STOPPED if it waits
     /// for a backend call.
     pub fn request_over(&self, request_id: &str) {
         let mut state = self.state.0.lock().unwrap();
@@ -191,7 +194,7 @@
     }
 
     /// Prepares for a start of the node: notices are numbered from 1 again, and earlier executions
-    /// have ended.
+    /// are treated as ended.
     pub fn node_starts(&self) {
         let mut state = self.state.0.lock().unwrap();
         state.notice_count = 0;
@@ -276,7 +279,7 @@
         missed.iter().for_each(|line| self.send(line));
     }
 
-    /// Begins an execution, unless one of the same request has begun before.
+    /// Begins an execution, unless an execution of the same request has begun before.
     fn start(&mut self, command: &Value) {
         let text = |name: &str| command[name].as_str().unwrap_or_default().to_owned();
         let body = STANDARD.decode(text("b64")).unwrap_or_default();
@@ -318,7 +321,7 @@
         });
     }
 
-    /// Sends a numbered notice, and keeps it for a link that missed it.
+    /// Sends a numbered notice, and keeps the notice for a link that missed it.
     fn notice(&mut self, line: impl FnOnce(u64) -> String) {
         self.notice_count += 1;
         let line = line(self.notice_count);
--- a/crates/test-harness/src/fault_proxy.rs
+++ b/crates/test-harness/src/fault_proxy.rs
@@ -1,8 +1,8 @@
 //! Fault proxies between the processes of a scenario.
 //!
-//! The datagram proxy has one address for each node, at which other nodes reach it, and one socket
-//! for each pair of nodes, so that replies can be returned to the sender. Stream proxies forward
-//! bytes in order; faults delay or stop them.
+//! The datagram proxy has one address for each node, at which other nodes reach that node, and one
+//! socket for each pair of nodes, so that replies can be returned to the sender. Stream proxies
+//! forward bytes in order; faults delay or stop the bytes.
 
 use crate::faults::{Delivery, Faults, NodeLocation};
 use crate::scenario::LinkKind;
@@ -18,7 +18,7 @@
 
 /// Size of the longest datagram that is forwarded, in bytes.
 const DATAGRAM_BYTES_MAX: usize = 2048;
-/// Most datagrams that are held or delayed at a time; further ones are dropped.
+/// Maximum number of datagrams that are held or delayed at a time; further datagrams are dropped.
 const DATAGRAMS_MAX: usize = 20_000;
 /// Longest wait for a datagram before held datagrams are checked for release.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Forwards held datagrams whose link is no longer cut or held.
+    /// Forwards the held datagrams whose link no longer has a fault that cuts or holds it.
     fn release(&mut self) {
         for (from, to, frame) in std::mem::take(&mut self.held) {
             if self
--- a/crates/test-harness/src/fault_scenario.rs
+++ b/crates/test-harness/src/fault_scenario.rs
@@ -1,7 +1,7 @@
 //! The fault scenario runner. It starts several processes of the program, each with its own
 //! executor, service registry and load, and one backend service for all, with a fault proxy on
-//! every link. It plays the scenario's faults, checks the expectations meanwhile, and checks the
-//! joined event record afterwards.
+//! every link. It plays the scenario's faults, checks the expectations while the faults are in
+//! force, and checks the joined event record afterwards.
 //!
 //! All sockets are on the loopback interface. Dropping a scenario kills every process that it
 //! started. `madderpoint-fault-test` and the process-level tests of `crates/node` use the runner.
@@ -55,18 +55,18 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Reasons why a scenario could not be read or started.
+/// Error of reading or starting a scenario.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
     /// The scenario's file could not be read.
-    #[error("{file}: {source}")]
+    #[error("scenario file {file} cannot be read: {source}")]
     Unreadable {
-        /// The scenario's file.
+        /// The path of the scenario's file.
         file: String,
-        /// The error of the operating system.
+        /// The operating system's error of reading the file.
         source: io::Error,
     },
-    /// The scenario's file is not valid; the diagnostics name line and field.
+    /// The scenario's file is not valid; the diagnostics name the file, line and field.
     #[error("{0}")]
     Invalid(madderpoint_settings::Diagnostics),
     /// A socket, file, thread or process could not be created.
@@ -87,7 +87,8 @@
 pub struct ProgramSetup {
     /// The program's executable file.
     pub exe: PathBuf,
-    /// Another build of the program, used for nodes that are started as program `later`.
+    /// Executable file of another build of the program, used for nodes that a scenario starts as
+    /// program `later`; `None` if no scenario does so.
     pub later: Option<PathBuf>,
     /// The directory for settings, configuration and key files.
     pub dir: PathBuf,
@@ -95,7 +96,7 @@
     pub extra_settings: String,
 }
 
-/// A running scenario.
+/// A scenario whose processes, peers and proxies have been started.
 pub struct FaultScenario {
     script: Scenario,
     setup: ProgramSetup,
@@ -103,7 +104,8 @@
     faults: Arc<Faults>,
     _datagram_proxy: DatagramProxy,
     record: Arc<EventRecord>,
-    /// Last status reply of each node; the condition variable signals each round of queries.
+    /// Last status reply of each node; the condition variable is notified after each round of
+    /// queries.
     seen: Arc<(Mutex<Observations>, Condvar)>,
     stop: Arc<AtomicBool>,
     outcome: Outcome,
@@ -117,8 +119,8 @@
     pause_count: usize,
 }
 
-/// Returns a loopback address that no other scenario on this machine uses: it is made of the
-/// process id and the scenario's number.
+/// Returns a loopback address that no other scenario on this machine uses. The address is made of
+/// the process id and the scenario's number.
 fn own_address() -> IpAddr {
     let pid = std::process::id();
     let [_, _, high, low] = pid.to_be_bytes();
@@ -257,7 +259,7 @@
         self.finish()
     }
 
-    /// Records a failure.
+    /// Records the text of a failed expectation or check, which the outcome lists.
     fn fail(&mut self, failure: String) {
         self.record.note("rig", "FAILED", failure.clone());
         self.outcome.failures.push(failure);
--- a/crates/test-harness/src/fault_scenario/changes.rs
+++ b/crates/test-harness/src/fault_scenario/changes.rs
@@ -54,7 +54,7 @@
         let rollout = match &self.script.rollout {
             None => String::new(),
             Some(rollout) => {
-                // A rollout needs voters.
+                // A rollout needs voters, so the settings must name some.
                 if !shared.contains("<arbiter") {
                     shared = format!(
                         "<arbiter name=\"n0\"/><arbiter name=\"n1\"/><arbiter name=\"n2\"/>{shared}"
@@ -142,7 +142,8 @@
         .for_topic(TOPIC))
     }
 
-    /// Sends an operator command to a node, repeatedly until the reply accepts or rejects it.
+    /// Sends an operator command to a node, repeatedly until the reply accepts or rejects the
+    /// command.
     fn send_command(&self, n: usize, command: &OperatorCommand) -> Result<CommandReply, String> {
         let node = &self.nodes[n];
         let socket = UdpSocket::bind((node.bind.ip(), 0)).map_err(|e| e.to_string())?;
@@ -173,8 +174,8 @@
         Err("no final reply within 20 s".into())
     }
 
-    /// Offers settings to a node, chunk by chunk; fails unless the node accepts them, or rejects
-    /// them if `rejected` is set.
+    /// Offers settings to a node, chunk by chunk; records a failure unless the node accepts the
+    /// settings, or rejects them if `rejected` is set.
     pub(super) fn offer(
         &mut self,
         index: usize,
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Returns the settings number that each running node reports of itself, by node name.
+    /// Returns the number of the settings that each running node reports for itself, by node name.
     pub(super) fn running_settings(&self) -> BTreeMap<String, u64> {
         let seen = super::lock(&self.seen.0);
         let own = |n: usize| {
@@ -359,7 +360,7 @@
                 begun,
             );
         } else {
-            // The line of the coordinator says what the rollout waits for.
+            // The coordinator's line of text says what the rollout waits for.
             let all = (0..self.nodes.len()).filter(|&n| self.is_up(n));
             let lines = all.filter_map(|n| {
                 Some(format!(
--- a/crates/test-harness/src/fault_scenario/changes/record_check.rs
+++ b/crates/test-harness/src/fault_scenario/changes/record_check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// State of one node's versions, as its log lines tell it.
+/// State of one node's versions, as derived from the node's log lines.
 #[derive(Debug, Default)]
 struct Node {
     running: Option<u64>,
@@ -23,7 +23,7 @@
     pub(super) stopped: BTreeSet<String>,
     /// Nodes whose last process was stopped by SIGTERM.
     left: BTreeSet<String>,
-    /// Most nodes that had each version number on trial at the same time.
+    /// Maximum number of nodes that had a version on trial at the same time, by version number.
     pub most_on_trial: BTreeMap<u64, usize>,
     /// One text for each violation found so far.
     pub violations: Vec<String>,
--- a/crates/test-harness/src/fault_scenario/checks.rs
+++ b/crates/test-harness/src/fault_scenario/checks.rs
@@ -13,7 +13,7 @@
 const RECORD_BEFORE_FAILURE: usize = 120;
 /// Number of lines from the first failure on that the outcome keeps of the joined event record.
 const RECORD_AFTER_FAILURE: usize = 10;
-/// Most violations that the failure of one node lists.
+/// Maximum number of violations that the failure of one node lists.
 const VIOLATIONS_LISTED: usize = 5;
 
 impl FaultScenario {
@@ -93,12 +93,12 @@
         self.outcome.failures.extend(failures);
     }
 
-    /// Checks the budgets of backend calls.
+    /// Checks the backend calls in each second and in flight against the limits of the scenario.
     fn check_backend_limits(&self, failures: &mut Vec<String>) {
         let (backend, nodes) = (self.outcome.backend, self.nodes.len());
         let limit = self.script.calls_a_second as usize;
-        // Unused units that may be saved up: 50 ms of the limit, but at least one call of each
-        // node. At the edges of a second there may be one more call of each node.
+        // Unused calls may be saved up: those of 50 ms at the limit, but at least one call of each
+        // node. At the edges of a second, one more call of each node may arrive.
         let saved = (limit / 20).max(nodes) + nodes;
         if limit > 0 && backend.most_in_a_second > limit + saved {
             let most = backend.most_in_a_second;
@@ -117,8 +117,9 @@
         }
     }
 
-    /// Checks that the backend service was not overloaded, and got no more connection attempts
-    /// while it was down, and no more calls after a restart, than allowed.
+    /// Checks that the backend service was not overloaded. Also checks that it got no more
+    /// connection attempts while it was down, and no more calls after a restart, than the scenario
+    /// allows.
     fn check_backend_availability(&mut self, failures: &mut Vec<String>) {
         let backend = self.outcome.backend;
         if backend.crashes > 0 {
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Checks the keyed quotas.
+    /// Checks the executions of each key against the rate and the limit in flight of the keyed
+    /// quotas.
     fn check_key_limits(&self, failures: &mut Vec<String>) {
         let keys = &self.script.keys;
         let (in_flight, excess) = self
--- a/crates/test-harness/src/fault_scenario/config.rs
+++ b/crates/test-harness/src/fault_scenario/config.rs
@@ -7,7 +7,8 @@
 use std::path::PathBuf;
 
 impl FaultScenario {
-    /// Writes a file with a unique name into the directory for files.
+    /// Writes a file with a unique name into the directory of the scenario's files, and returns its
+    /// path.
     pub(super) fn write_file(&mut self, extension: &str, text: &str) -> io::Result<PathBuf> {
         self.file_count += 1;
         let name = format!(
--- a/crates/test-harness/src/fault_scenario/expectations.rs
+++ b/crates/test-harness/src/fault_scenario/expectations.rs
@@ -1,5 +1,5 @@
-//! Expectations of a scenario's steps. Each is checked against the status replies of the nodes
-//! until it holds or its time limit has passed.
+//! Expectations of a scenario's steps. An expectation is checked against the status replies of the
+//! nodes until it holds or its time limit has passed.
 
 use super::observe::{Observations, REPLAY_WINDOW_NS, status_pages};
 use super::{AUTH_KEY, CLUSTER_NAME, FaultScenario, QUERY_INTERVAL, QUERY_TIMEOUT, lock};
@@ -21,7 +21,8 @@
 /// Pause between two checks of the backend service's record.
 const USAGE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Reasons why an expectation did not hold in time.
+/// Reason why an expectation of the shared state did not hold, shown after the step and the
+/// expectation.
 #[derive(Debug, Error)]
 enum ExpectationError {
     /// The expectation did not hold by the deadline; the text is the last observation.
@@ -31,7 +32,7 @@
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The authentication key of the cluster is not valid.
-    #[error("{0}")]
+    #[error("authentication key of the cluster is not valid: {0}")]
     AuthKeys(String),
     /// The status snapshot could not be decoded.
     #[error(transparent)]
@@ -39,7 +40,8 @@
 }
 
 impl FaultScenario {
-    /// Waits for the expectation of step `index`, and records the time until it held or a failure.
+    /// Waits for the expectation of step `index`. Records the time until the expectation held, or a
+    /// failure.
     pub(super) fn expect(&mut self, index: usize, expectation: &Action) {
         let begun = Instant::now();
         match expectation {
@@ -156,8 +158,8 @@
         Err(ExpectationError::Unmet(last))
     }
 
-    /// Waits until `unmet` returns `None`; otherwise it returns why an expectation does not hold
-    /// yet.
+    /// Waits until `unmet` returns `None`. Before that, `unmet` returns why an expectation does not
+    /// hold yet.
     fn wait(
         &self,
         until: Instant,
@@ -218,8 +220,8 @@
             .find_map(|group| self.not_agreed(seen, group))
     }
 
-    /// Returns why the nodes of a group do not all have the same digest, and the nodes of the group
-    /// as the only present members; `None` if they do.
+    /// Returns why the nodes of a group do not agree; `None` if they do. Nodes agree if all have
+    /// the same digest, and see exactly the nodes of the group as present members.
     fn not_agreed(&self, seen: &Observations, group: Vec<usize>) -> Option<String> {
         let names: BTreeSet<&str> = group.iter().map(|&n| self.nodes[n].name.as_str()).collect();
         let mut digest = None;
@@ -247,7 +249,8 @@
         None
     }
 
-    /// Returns why a node does not see another node, or itself, as `expected`; `None` if it does.
+    /// Returns why a node does not see another node, or itself, as `expected`; `None` if the node
+    /// does.
     fn not_seen_as(
         &self,
         seen: &Observations,
--- a/crates/test-harness/src/fault_scenario/observe.rs
+++ b/crates/test-harness/src/fault_scenario/observe.rs
@@ -1,5 +1,5 @@
-//! Status queries to all nodes, with the authenticated datagram protocol. They bypass the fault
-//! proxy, so that faults do not affect them.
+//! Status queries to all nodes, with the authenticated datagram protocol. The queries bypass the
+//! fault proxy, so that faults do not affect them.
 
 use super::process::NodeState;
 use super::{
@@ -14,7 +14,7 @@
 use std::thread;
 use std::time::Instant;
 
-/// Most pages of one status reply.
+/// Maximum number of pages of one status reply.
 const PAGES_MAX: usize = 64;
 /// The observer's replay window, in nanoseconds.
 pub(super) const REPLAY_WINDOW_NS: u64 = 600_000_000_000;
@@ -87,8 +87,8 @@
     query(socket, node, observer, begun, Observer::on_status_page)
 }
 
-/// Requests one page after the other. `receive` reads one datagram, and returns whether it is the
-/// requested page, and the decoded reply if it was the last page.
+/// Requests one page after the other. `receive` reads one datagram. It returns whether the datagram
+/// is the requested page, and after the last page the decoded reply.
 fn query<T, E>(
     socket: &UdpSocket,
     node: SocketAddr,
--- a/crates/test-harness/src/fault_scenario/outcome.rs
+++ b/crates/test-harness/src/fault_scenario/outcome.rs
@@ -8,7 +8,7 @@
 /// Failures and measurements of a scenario.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Texts of all failed expectations and checks; empty if everything held.
+    /// Texts of all failed expectations and checks; empty if all expectations and checks held.
     pub failures: Vec<String>,
     /// Time until each expectation held, in seconds, in the order of the steps.
     pub durations: Vec<(String, f64)>,
@@ -19,15 +19,16 @@
     /// Number of executions that were recorded by key.
     pub keyed_executions: usize,
     /// By how many calls the worst second after a restart of the backend service exceeded its
-    /// slow-start allowance; negative if none did. Set only if the scenario checks it.
+    /// slow-start allowance; negative if no second exceeded it. `None` if the scenario does not
+    /// check the calls after a restart.
     pub excess_after_restart: Option<f64>,
-    /// Most nodes that ran each settings number on trial at the same time.
+    /// Maximum number of nodes that ran settings on trial at the same time, by settings number.
     pub on_trial: BTreeMap<u64, usize>,
     /// Settings number that each node ran at the end, by node name.
     pub final_settings: BTreeMap<String, u64>,
     /// Number of datagrams at the fault proxy, by result: passed, lost, held, doubled or damaged.
     pub datagrams: BTreeMap<&'static str, u64>,
-    /// Lines of the joined event record around the first failure; empty if everything held.
+    /// Lines of the joined event record around the first failure; empty without a failure.
     pub record_excerpt: Vec<String>,
 }
 
@@ -39,7 +40,7 @@
         first.is_some() && numbers.all(|number| Some(number) == first)
     }
 
-    /// Returns the outcome if everything held.
+    /// Returns the outcome if all expectations and checks held.
     ///
     /// # Panics
     ///
--- a/crates/test-harness/src/fault_scenario/process.rs
+++ b/crates/test-harness/src/fault_scenario/process.rs
@@ -31,11 +31,12 @@
 pub(super) struct NodeState {
     pub(super) is_running: bool,
     pub(super) is_paused: bool,
-    /// Periods in which a missing answer is not a failure: begin, and end if known.
+    /// Periods in which a missing answer is not a failure: the begin, and the end, or `None` until
+    /// the fault ends.
     pub(super) excused: Vec<(Instant, Option<Instant>)>,
 }
 
-/// A node of the scenario, with its peers and proxies.
+/// A node of the scenario: the process, and the node's stand-in peers and proxies.
 pub(super) struct ScenarioNode {
     pub(super) place: NodeLocation,
     /// Address on which the node listens for other nodes.
@@ -195,7 +196,7 @@
             .spawn()
     }
 
-    /// Starts the load threads of a node that do not run yet.
+    /// Starts the load threads of a node, unless they already run.
     fn start_load(&mut self, n: usize) {
         let callers = if self.script.load > 0 {
             self.script.callers.max(1)
--- a/crates/test-harness/src/fault_scenario/steps.rs
+++ b/crates/test-harness/src/fault_scenario/steps.rs
@@ -18,7 +18,7 @@
 const FLOOD_INTERVAL: Duration = Duration::from_millis(5);
 
 impl FaultScenario {
-    /// Plays step `index`.
+    /// Plays step `index`: puts or removes faults, changes the load, or waits for an expectation.
     pub(super) fn apply(&mut self, index: usize, action: &Action) {
         match action {
             Action::Link { faulty, time } => self.put_fault(faulty, *time),
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Puts a fault on links. Faults on links other than those between nodes excuse missing
-    /// answers.
+    /// Puts a fault on links for the given time, or until all links are healed. Faults on other
+    /// links than those between nodes excuse missing answers.
     fn put_fault(&mut self, faulty: &LinkFault, time: Option<Duration>) {
         if faulty.on != LinkKind::Fleet {
             let until = time.map(|time| Instant::now() + time + EXCUSE_AFTER);
--- a/crates/test-harness/src/faults.rs
+++ b/crates/test-harness/src/faults.rs
@@ -7,7 +7,7 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Additional delay of a reordered datagram, so that later ones overtake it.
+/// Additional delay of a reordered datagram, so that later datagrams overtake it.
 const REORDER_DELAY: Duration = Duration::from_millis(20);
 /// Delay of the second copy of a doubled datagram.
 const DOUBLE_DELAY: Duration = Duration::from_millis(1);
@@ -17,7 +17,7 @@
 pub struct NodeLocation {
     /// The node's name in the scenario.
     pub name: String,
-    /// The node's zone.
+    /// The node's zone in the scenario.
     pub zone: String,
 }
 
@@ -28,17 +28,18 @@
     pub copies: Vec<Duration>,
     /// Index of a damaged byte, and the mask that is applied to it by exclusive or.
     pub damage: Option<(usize, u8)>,
-    /// Whether the datagram is held until its link is healed.
+    /// True if the proxy holds the datagram back until its link is healed.
     pub is_held: bool,
 }
 
 struct State {
-    /// Faults with their end; `None` if a fault lasts until all links are healed.
+    /// Faults, each with the time at which it ends; `None` if the fault lasts until all links are
+    /// healed.
     faults: Vec<(LinkFault, Option<Instant>)>,
     rng: Pcg64Mcg,
     /// Time at which a throttled link is free for the next byte, by names of sender and receiver.
     next_free: HashMap<(String, String), Instant>,
-    /// Number of datagrams by result.
+    /// Number of datagrams by result: passed, lost, held, doubled or damaged.
     counts: HashMap<&'static str, u64>,
 }
 
@@ -76,7 +77,7 @@
         self.changed.notify_all();
     }
 
-    /// Removes all faults.
+    /// Removes all faults from all links, whatever time they were to last.
     pub fn heal(&self) {
         let mut state = self.lock();
         state.faults.clear();
--- a/crates/test-harness/src/keys.rs
+++ b/crates/test-harness/src/keys.rs
@@ -6,7 +6,7 @@
 
 #[derive(Default)]
 struct KeyHistory {
-    /// Begin times of all executions.
+    /// Begin times of all executions of the key.
     started: Vec<Instant>,
     in_flight: usize,
     most_in_flight: usize,
@@ -45,8 +45,9 @@
             .sum()
     }
 
-    /// Returns the most executions in flight of any key, and by how many executions the worst key
-    /// exceeded a token bucket with this rate (executions per second) and burst.
+    /// Returns the maximum number of executions of one key in flight, and by how many executions
+    /// the worst key exceeded a token bucket. `rate` is in executions per second, `burst` in
+    /// executions.
     pub fn worst(&self, rate: f64, burst: f64) -> (usize, f64) {
         let (mut in_flight, mut excess) = (0, 0f64);
         for history in self.lock().values_mut() {
--- a/crates/test-harness/src/lib.rs
+++ b/crates/test-harness/src/lib.rs
@@ -1,6 +1,6 @@
 //! Test support: stand-in peers of a node, a runner of fault scenarios with several processes, and
 //! checkers of the invariants of every request. All sockets are on the loopback interface, on free
-//! ports. Waits end with an event, not after a fixed time.
+//! ports. Functions that wait return when the awaited event occurs, not after a fixed time.
 
 pub use madderpoint_settings::scenario;
 
--- a/crates/test-harness/src/load.rs
+++ b/crates/test-harness/src/load.rs
@@ -16,16 +16,17 @@
 pub struct LoadRequest {
     /// The path, such as `/call/read`.
     pub path: String,
-    /// Parameters in addition to those that each request has.
+    /// FastCGI parameters in addition to the parameters that each request has.
     pub params: Vec<(String, String)>,
-    /// The request body.
+    /// The body that is sent with the request.
     pub body: Vec<u8>,
-    /// Idempotency key, if the request must be executed at most once.
+    /// Idempotency key of the request; `None` if the request may be executed more than once.
     pub key: Option<String>,
 }
 
 impl LoadRequest {
-    /// Returns a request for this path, without additional parameters and key.
+    /// Returns a request for this path with the body `body`, without additional parameters and
+    /// idempotency key.
     pub fn of(path: &str) -> LoadRequest {
         LoadRequest {
             path: path.to_owned(),
@@ -46,9 +47,9 @@
 /// Number of connections and requests of a load.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadShape {
-    /// Number of connections.
+    /// Number of connections that the load opens at the same time.
     pub connections: usize,
-    /// Number of requests that are open on each connection at a time.
+    /// Number of requests in a batch, which are open on each connection at the same time.
     pub open: usize,
     /// Total number of requests on each connection.
     pub requests_per_connection: usize,
@@ -93,7 +94,7 @@
     });
 }
 
-/// One connection of a load.
+/// One connection of a load to a node, which is replaced when the node closes it.
 struct Client {
     node: SocketAddr,
     stream: Option<TcpStream>,
@@ -111,7 +112,7 @@
     }
 
     /// Sends a batch and waits for all answers. If the node closed the idle connection while the
-    /// batch was on its way, the batch is sent once more, as load balancers do.
+    /// batch was in transit, the batch is sent once more, as load balancers do.
     fn send(&mut self, requests: &[LoadRequest], checker: &Mutex<Checker>) {
         let request_ids: Vec<String> = requests.iter().map(|_| next_request_id()).collect();
         for is_retry in [false, true] {
--- a/crates/test-harness/src/peers.rs
+++ b/crates/test-harness/src/peers.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Longest wait for any data; only keeps a failed test from hanging.
+/// Longest wait for any data. The limit only keeps a failed test from hanging.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Opens a listener on a free port.
@@ -20,8 +20,8 @@
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
-/// Returns an address at which nothing listens. The address is fixed, as another test could take a
-/// port that was free a moment ago.
+/// Returns an address at which no process listens. The address is fixed, because another test could
+/// take a port that was found free before.
 pub fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 1, 2, 3], 1))
 }
@@ -43,9 +43,9 @@
 ///
 /// The methods panic if the connection fails or if no data arrives in time.
 pub struct LineConnection {
-    /// The buffered connection.
+    /// The connection, buffered for reading lines.
     pub reader: BufReader<TcpStream>,
-    /// Received part of a line that is not complete.
+    /// Bytes that were received of a line whose end has not arrived yet.
     pub part: Vec<u8>,
 }
 
@@ -161,17 +161,17 @@
 }
 
 /// A load balancer with one connection. The node may close the connection while no request is open;
-/// a request that was on its way then is sent again on a new connection.
+/// a request that was in transit at that time is sent again on a new connection.
 ///
 /// The methods panic if the connection fails or if no data arrives in time.
 pub struct LoadBalancer {
     /// Address on which the node listens.
     pub node: SocketAddr,
-    /// The current connection.
+    /// The current connection to the node; replaced when the node has closed it.
     pub stream: TcpStream,
     /// Received bytes of an incomplete record.
     pub bytes: Vec<u8>,
-    /// Received parts of incomplete answers, by FastCGI request id.
+    /// Received bytes of incomplete answers, by FastCGI request id.
     pub open: BTreeMap<u16, Vec<u8>>,
     /// Complete answers that no method has returned yet.
     pub done: Vec<Answer>,
