--- a/crates/test-harness/src/program.rs
+++ b/crates/test-harness/src/program.rs
@@ -13,7 +13,7 @@
 
 /// A started node. Dropping it kills the process.
 pub struct Node {
-    /// The node's process.
+    /// The running process of the node.
     pub child: Child,
     /// Lines of the node's log, in order.
     pub log: Receiver<String>,
@@ -26,9 +26,9 @@
 /// The program under test, and the directory for its files.
 #[derive(Clone, Copy)]
 pub struct Program {
-    /// Path of the executable.
+    /// Path of the program's executable file.
     pub exe: &'static str,
-    /// Directory for configuration files.
+    /// Directory into which the tests write configuration files.
     pub dir: &'static str,
 }
 
@@ -46,7 +46,7 @@
         path
     }
 
-    /// Writes a configuration file and returns its path.
+    /// Writes a configuration file with this text and returns the file's path.
     pub fn config(self, text: &str) -> PathBuf {
         self.file("json", text)
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Connects a load balancer to the node.
+    /// Returns a load balancer with a new connection to the node.
     pub fn connect(&self) -> LoadBalancer {
         LoadBalancer::connect(self.listen)
     }
--- a/crates/test-harness/src/wire.rs
+++ b/crates/test-harness/src/wire.rs
@@ -92,20 +92,20 @@
 /// An answer that a load balancer has read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// The FastCGI request id.
+    /// The FastCGI request id that the answer belongs to.
     pub id: u16,
     /// Value of the header field `Status`.
     pub status: String,
     /// All other header fields.
     pub fields: BTreeMap<String, String>,
-    /// The answer's body.
+    /// The body of the answer, after the header fields.
     pub body: Vec<u8>,
-    /// The protocol status of END_REQUEST.
+    /// The protocol status in the END_REQUEST record.
     pub protocol_status: u8,
 }
 
 /// Removes all complete records from the front of `bytes`, and returns the answers that END_REQUEST
-/// completes. Parts of incomplete answers are kept in `open`, by FastCGI request id.
+/// completes. The received bytes of incomplete answers are kept in `open`, by FastCGI request id.
 pub fn answers(bytes: &mut Vec<u8>, open: &mut BTreeMap<u16, Vec<u8>>) -> Vec<Answer> {
     let mut done = Vec::new();
     while bytes.len() >= 8 {
