--- a/crates/rollout/src/chunks.rs
+++ b/crates/rollout/src/chunks.rs
@@ -56,7 +56,7 @@
     /// All chunks were received, but the digest does not match: the content is fetched again, or
     /// the fetch is given up.
     Corrupt {
-        /// True after [`MAX_CORRUPT_FETCHES`] complete contents with a wrong digest; false if the
+        /// True after `MAX_CORRUPT_FETCHES` complete contents with a wrong digest; false if the
         /// content is fetched again.
         given_up: bool,
     },
