--- a/crates/rollout/src/stages.rs
+++ b/crates/rollout/src/stages.rs
@@ -40,9 +40,7 @@
     },
     /// The maximum share of a zone's nodes in a stage, or the margin of the analysis, is out of
     /// bounds.
-    #[error(
-        "the maximum share of a zone must be from 0.001 to 1, and the margin from 0.001 to 0.5"
-    )]
+    #[error("a maximum share of a zone must be from 0.001 to 1, and a margin from 0.001 to 0.5")]
     Shares,
 }
 
