--- a/crates/identity/src/x509.rs
+++ b/crates/identity/src/x509.rs
@@ -30,7 +30,8 @@
     Server,
 }
 
-/// Reason why a chain is refused, with the violated clause of the standard if there is one.
+/// Reason why a chain is refused. Variants for violations of the X.509-SVID standard name the
+/// violated sections.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum X509SvidError {
     /// The chain is empty.
@@ -42,39 +43,39 @@
     /// A certificate is malformed or is followed by further bytes.
     #[error("certificate cannot be parsed")]
     Unreadable,
-    /// 2: the leaf does not have exactly one URI among its subject alternative names; carries the
-    /// number of URIs.
+    /// Section 2: the leaf does not have exactly one URI among its subject alternative names;
+    /// carries the number of URIs.
     #[error("leaf has {0} URIs among its alternative names, exactly 1 is required (X509-SVID 2)")]
     Uris(usize),
-    /// 2: the URI is not a valid SPIFFE id.
+    /// Section 2: the URI is not a valid SPIFFE id.
     #[error("URI of the leaf is not a valid SPIFFE id: {0}")]
     NoId(SpiffeIdError),
-    /// 4.1: the leaf is a certificate authority.
+    /// Section 4.1: the leaf is a certificate authority.
     #[error("leaf is a certificate authority (X509-SVID 4.1)")]
     LeafIsAuthority,
-    /// 4.1: the SPIFFE id of the leaf has no path.
+    /// Section 4.1: the SPIFFE id of the leaf has no path.
     #[error("SPIFFE id of the leaf has no path (X509-SVID 4.1)")]
     NoPath,
-    /// 4.3: the key usage extension of the leaf is absent or not critical.
+    /// Section 4.3: the key usage extension of the leaf is absent or not critical.
     #[error("key usage of the leaf is absent or not critical (X509-SVID 4.3)")]
     NoKeyUsage,
-    /// 4.3: the key usage of the leaf lacks digital signatures, or includes signing of certificates
-    /// or revocation lists.
+    /// Section 4.3: the key usage of the leaf lacks digital signatures, or includes signing of
+    /// certificates or revocation lists.
     #[error(
         "key usage of the leaf lacks digital signatures, or allows signing of certificates or \
          revocation lists (X509-SVID 4.3)"
     )]
     KeyUsage,
-    /// 4.4: the extended key usage of the leaf is present and lacks client or server
+    /// Section 4.4: the extended key usage of the leaf is present and lacks client or server
     /// authentication.
     #[error("extended key usage of the leaf lacks client or server authentication (X509-SVID 4.4)")]
     ExtendedKeyUsage,
-    /// 3.2, 4.2: an intermediate certificate is not an authority, may not sign certificates, has
-    /// several URIs, or has a URI that is not the id of the leaf's trust domain.
+    /// Sections 3.2 and 4.2: an intermediate certificate is not an authority, may not sign
+    /// certificates, has several URIs, or has a URI that is not the id of the leaf's trust domain.
     #[error("an intermediate is not an authority of the leaf's trust domain (X509-SVID 3.2, 4)")]
     Authority,
-    /// 5: no bundle is in force for the trust domain of the id; carries the name of the trust
-    /// domain.
+    /// Section 5: no bundle is in force for the trust domain of the id; carries the name of the
+    /// trust domain.
     #[error("trust domain {0} is not known")]
     UnknownDomain(String),
     /// The leaf expired longer ago than the clock skew.
@@ -83,8 +84,8 @@
     /// The validity of the leaf starts later than the clock skew allows.
     #[error("leaf is not valid yet")]
     NotYet,
-    /// 5.2: no path of valid signatures leads to an authority of the id's trust domain; carries the
-    /// reason why no path was found.
+    /// Section 5.2: no path of valid signatures leads to an authority of the id's trust domain;
+    /// carries the reason why no path was found.
     #[error("no path to an authority of the trust domain: {0}")]
     NoPathToAuthority(String),
 }
--- a/crates/membership/src/swim/receiving.rs
+++ b/crates/membership/src/swim/receiving.rs
@@ -30,7 +30,6 @@
         self.requested_wake = self.next_wake().max(at.now);
     }
 
-    /// Counts a dropped datagram.
     fn count_drop(&mut self, reason: DropReason) {
         self.count(reason.as_str(), 1);
     }
@@ -119,7 +118,8 @@
         }
     }
 
-    /// Handles the report of a relay that its probe had no reply: the relay itself responds.
+    /// Handles a relay's report that the target did not answer the relayed probe. The report shows
+    /// that the relay itself is alive.
     fn on_relay_reply(&mut self, number: u32) {
         if let Some(probe) = self
             .outstanding_probe
@@ -303,7 +303,8 @@
         self.ping(at, target, number);
     }
 
-    /// Merges load hints of other members.
+    /// Merges the load hints of a datagram, except those about this node, and keeps the keys of the
+    /// members whose hint changed, so that the new hints are passed on.
     fn merge_load_hints(&mut self, at: ClockReading, load_hints: &[u8]) {
         for load_hint in load_hints
             .as_chunks::<LOAD_HINT_BYTES>()
--- a/crates/node/src/node/tests/idempotency.rs
+++ b/crates/node/src/node/tests/idempotency.rs
@@ -332,7 +332,8 @@
         [start_command(A, "book")],
         "the request is over: this start only asks whether the execution exists"
     );
-    // The execution existed and ends: the waiting repeat gets its result, and so does a later one.
+    // The execution still exists. When it ends, its result answers the waiting repeat and any
+    // repeat that arrives afterwards.
     node.end_execution(A, End::Ok, b"done");
     node.send_keyed(3, C, KEY, 0);
     assert_eq!(
--- a/crates/node/src/serve/settings.rs
+++ b/crates/node/src/serve/settings.rs
@@ -26,7 +26,7 @@
     #[error("{0}")]
     Invalid(String),
     /// The content of a version is not UTF-8.
-    #[error("content is not valid UTF-8")]
+    #[error("content of the version is not valid UTF-8")]
     NotText,
     /// The cluster's key file cannot be used.
     #[error("fleet/@keys: {}: {problem}", path.display())]
@@ -64,8 +64,9 @@
     /// Fields of `<fleet>` differ that only take effect with a restart.
     #[error("changes of {0:?} of <fleet> need a restart")]
     NeedsRestart(Vec<&'static str>),
-    /// The content of a stored version has a different number or hash than the version.
-    #[error("content does not match its version number and hash")]
+    /// The settings read from a stored version have a different number or hash than those under
+    /// which the version is stored.
+    #[error("content of the stored version does not match the version's number and hash")]
     OtherContent,
     /// The directory of versions could not be read or written.
     #[error(transparent)]
--- a/crates/rollout/src/cohort_metrics/counts.rs
+++ b/crates/rollout/src/cohort_metrics/counts.rs
@@ -6,8 +6,8 @@
 /// requests.
 pub type Latencies = Vec<(u32, u32)>;
 
-/// A metric of an operation. Each metric is the harmful part of a total, so that a lower value is
-/// better.
+/// A metric of an operation: the share of requests, or of their priority weight, that had a bad
+/// outcome. Lower values are better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Metric {
     /// Requests that failed, of those that arrived.
@@ -34,7 +34,8 @@
         Metric::Slow,
     ];
 
-    /// Returns the harmful part and the total, and the number of requests that entered the total.
+    /// Returns the part with the bad outcome and the total that it is a part of, both in the unit
+    /// of the metric, and the number of requests that entered the total.
     pub(super) fn of(self, cell: &OperationCounts) -> ([u64; 2], u64) {
         match self {
             Metric::Errored => ([cell.errored, cell.arrived], cell.arrived),
@@ -64,8 +65,8 @@
 /// baseline nodes of its zone in the same windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NodeMetric {
-    /// Harmful part of `all`, in the unit of the metric: requests, or thousandths of priority
-    /// weight.
+    /// Part of `all` with the bad outcome, in the unit of the metric: requests, or thousandths of
+    /// priority weight.
     pub bad: u64,
     /// Total that `bad` is a part of.
     pub all: u64,
--- a/crates/rollout/src/coordinator.rs
+++ b/crates/rollout/src/coordinator.rs
@@ -36,7 +36,8 @@
 /// Poll interval for each node of the cluster; applies if the product with the number of nodes
 /// exceeds [`POLL_INTERVAL`].
 const POLL_INTERVAL_PER_NODE: Nanos = 5 * MILLISECOND;
-/// How long the agreed cluster size remains the lower bound of the cluster size.
+/// How long after an agreement of the voters its cluster size counts: until then, the coordinator
+/// assumes at least as many nodes, even if fewer members are known.
 const ELECTORATE_LIFETIME: Nanos = 3600 * SECOND;
 
 /// Numbers of nodes that are present, in a stage, and on the new version.
@@ -60,11 +61,11 @@
     Wait(String),
     /// Begin a round of voting on this proposal.
     Propose(Proposal),
-    /// End a rollout.
+    /// End a rollout, which needs no agreement of the voters.
     End {
         /// The rollout to end.
         rollout: RolloutId,
-        /// The outcome to set, nearer to safety than the present one.
+        /// The outcome to set; higher in the order of [`Outcome`] than the present one.
         outcome: Outcome,
         /// The reason, as shown to operators.
         why: String,
@@ -90,7 +91,7 @@
     End {
         /// The rollout to end.
         rollout: RolloutId,
-        /// The outcome to set, nearer to safety than the present one.
+        /// The outcome to set; higher in the order of [`Outcome`] than the present one.
         outcome: Outcome,
         /// The reason, as shown to operators.
         why: String,
@@ -143,7 +144,8 @@
     method: AnalysisMethod,
     /// Names of operations, by number.
     names: BTreeMap<u32, String>,
-    /// Maximum number of nodes with metrics of their own at each end of the order of nodes.
+    /// Maximum number of nodes with metrics of their own at each end of the rollout's node order;
+    /// see [`MAX_NODES_EACH_END`].
     max_nodes: usize,
     /// Latencies that are never counted as slow, by operation, in units of 0.1 ms.
     fast_enough: BTreeMap<u32, u32>,
@@ -200,8 +202,8 @@
         self
     }
 
-    /// Sets the maximum number of nodes with metrics of their own at each end of the order of
-    /// nodes.
+    /// Sets the maximum number of nodes with metrics of their own at each end of the rollout's node
+    /// order; the default is [`MAX_NODES_EACH_END`].
     pub fn with_capacity(mut self, nodes: usize) -> Coordinator {
         self.max_nodes = nodes;
         self
--- a/crates/settings/src/test_case.rs
+++ b/crates/settings/src/test_case.rs
@@ -7,7 +7,7 @@
 /// A sample request with the expected output of the rules.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TestCase {
-    /// Name of the test case.
+    /// Name from the settings file, which identifies the test case in diagnostics and results.
     pub name: String,
     /// Request on which the rules are evaluated.
     pub request: SampleRequest,
--- a/crates/shared-state/src/budget/borrower/node_budgets.rs
+++ b/crates/shared-state/src/budget/borrower/node_budgets.rs
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Sets the value of a unit to this node, relative to other nodes.
+    /// Sets how valuable a unit is for this node, relative to other nodes; sent with each lease
+    /// request. The value is 1 until it is set.
     pub fn set_value(&mut self, value: f64) {
         self.value = value;
     }
--- a/crates/shared-state/src/keyed_quota.rs
+++ b/crates/shared-state/src/keyed_quota.rs
@@ -71,7 +71,8 @@
         /// Name of the quota that is rejected.
         name: String,
     },
-    /// The floors of all nodes together leave no units for leases.
+    /// The floors of all nodes together leave no units for leases: they must be below the burst or
+    /// the limit.
     #[error(
         "'{name}': the floors of {max_nodes} nodes are {floors}, which leaves nothing of the {field} of {bound} to lend"
     )]
@@ -82,9 +83,9 @@
         max_nodes: u32,
         /// Sum of the floors of `max_nodes` nodes, in units.
         floors: u64,
-        /// Name of the setting that bounds the floors: `burst` or `limit`.
+        /// Name of the setting that `floors` must be below: `burst` or `limit`.
         field: &'static str,
-        /// Value of that setting, in units; `floors` must be below it.
+        /// Value of the setting that `field` names, in units.
         bound: u32,
     },
     /// The rate is 0, or its units would have to be created faster than one per nanosecond.
--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -15,13 +15,13 @@
     Killed,
     /// The process of a node started.
     Started,
-    /// A timer expired.
+    /// A timer that the adapter set with [`Action::SetTimer`] expired.
     Timer,
     /// An execution or a coalesced wait ended.
     ExecutionEnded,
     /// A node read a request.
     Arrival,
-    /// An execution needs a backend call.
+    /// An execution waits for the node to make, delay or skip its next backend call.
     BackendCallNeeded,
 }
 
--- a/src/admission/drain.rs
+++ b/src/admission/drain.rs
@@ -19,11 +19,11 @@
         arrived_at > self.begun_at + deployment.drain_grace
     }
 
-    /// Returns whether all traffic is held back. This begins one update interval for each other
-    /// node before the end of the grace: the fewer other nodes there are, the larger the share of
-    /// the traffic that each would have to take, and the longer this node continues to serve. Even
-    /// with a single other node, the last load report before the end of the grace reaches load
-    /// balancers in time.
+    /// Returns whether all traffic is held back. The hold starts before the end of the grace, by
+    /// the number of other nodes times the update interval: the fewer other nodes there are, the
+    /// larger the share of the traffic that each would have to take, and the longer this node
+    /// continues to serve. The factor is at least 1, so that load balancers receive the last load
+    /// report before the grace ends.
     pub(super) fn holds_back_all(&self, now: Nanos, deployment: &Deployment) -> bool {
         let others = deployment.nodes.saturating_sub(1).max(1) as Nanos;
         now + UPDATE_INTERVAL * others >= self.begun_at + deployment.drain_grace
