--- a/crates/settings/src/scenario.rs
+++ b/crates/settings/src/scenario.rs
@@ -315,7 +315,7 @@
     pub zones: usize,
     /// Names of the nodes that are not started at the beginning.
     pub absent: Vec<String>,
-    /// Requests per second to each node.
+    /// Mean number of requests per second to each node.
     pub load: u64,
     /// Number of connections over which each node receives its requests.
     pub callers: u64,
