--- a/crates/test-harness/src/backend_service.rs
+++ b/crates/test-harness/src/backend_service.rs
@@ -270,7 +270,8 @@
                     let len: usize = len.parse().ok()?;
                     let mut body = vec![0; len + 2];
                     reader.read_exact(&mut body).ok()?;
-                    self.lock().call_arrived(connection, id, zone);
+                    let arrived = Instant::now();
+                    self.lock().call_arrived(arrived, connection, id, zone);
                     self.0.1.notify_all();
                 }
                 ["cancel", id] => self.lock().in_flight.retain(|_, call| call.id != *id),
@@ -284,15 +285,7 @@
         let mut state = self.lock();
         loop {
             let now = Instant::now();
-            while let Some(first) = state
-                .pending_replies
-                .peek()
-                .filter(|reply| reply.due <= now)
-                .map(|reply| reply.call)
-            {
-                state.pending_replies.pop();
-                state.answer(first);
-            }
+            state.answer_due_calls(now);
             let wait = state
                 .pending_replies
                 .peek()
@@ -339,13 +332,16 @@
         ((0.2 + 0.8 * passed.min(1.0)) * survives as f64).ceil() as usize
     }
 
-    /// Records a call and schedules its reply; crashes the service if too many calls are in flight.
-    fn call_arrived(&mut self, connection: u64, id: &str, zone: &str) {
+    /// Records a call that arrived at `now` and schedules its reply; crashes the service if too many
+    /// calls are in flight. The work of a call begins when it arrives, and the call does not count
+    /// once its work is over, even if the threads of the service wait for a busy test machine.
+    fn call_arrived(&mut self, now: Instant, connection: u64, id: &str, zone: &str) {
         if self.is_down() {
             return;
         }
-        let now = Instant::now();
-        self.arrivals.push(now);
+        self.answer_due_calls(now);
+        let later = self.arrivals.partition_point(|arrival| *arrival <= now);
+        self.arrivals.insert(later, now); // threads may get the lock in another order
         self.impairments.retain(|impairment| impairment.until > now);
         let affects = |impairment: &&Impairment| {
             impairment
@@ -388,6 +384,19 @@
         }
     }
 
+    /// Answers all calls whose replies are due at `now`.
+    fn answer_due_calls(&mut self, now: Instant) {
+        while self
+            .pending_replies
+            .peek()
+            .is_some_and(|reply| reply.due <= now)
+        {
+            if let Some(reply) = self.pending_replies.pop() {
+                self.answer(reply.call);
+            }
+        }
+    }
+
     fn answer(&mut self, call: u64) {
         let Some(call) = self.in_flight.remove(&call) else {
             return;
--- a/crates/test-harness/src/faults.rs
+++ b/crates/test-harness/src/faults.rs
@@ -4,6 +4,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::HashMap;
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -46,6 +47,9 @@
 /// The faults on all links of a scenario.
 pub struct Faults {
     state: Mutex<State>,
+    /// False while no fault has been put on a link. Streams then pass without the lock, so that a
+    /// thread that is preempted while it holds the lock does not stop the streams of all nodes.
+    has_faults: AtomicBool,
     changed: Condvar,
 }
 
@@ -61,6 +65,7 @@
         };
         Faults {
             state: Mutex::new(state),
+            has_faults: AtomicBool::new(false),
             changed: Condvar::new(),
         }
     }
@@ -74,6 +79,7 @@
         let mut state = self.lock();
         let until = time.map(|time| Instant::now() + time);
         state.faults.push((faulty, until));
+        self.has_faults.store(true, SeqCst);
         self.changed.notify_all();
     }
 
@@ -81,6 +87,7 @@
     pub fn heal(&self) {
         let mut state = self.lock();
         state.faults.clear();
+        self.has_faults.store(false, SeqCst);
         state.next_free.clear();
         self.changed.notify_all();
     }
@@ -160,6 +167,9 @@
 
     /// Blocks a stream until `bytes` bytes may pass, including the delay of the link.
     pub fn wait_to_pass(&self, on: LinkKind, from: &NodeLocation, to: &NodeLocation, bytes: usize) {
+        if !self.has_faults.load(SeqCst) {
+            return;
+        }
         let mut state = self.lock();
         loop {
             let (is_blocked, delay) = {
--- a/crates/test-harness/src/faults/tests.rs
+++ b/crates/test-harness/src/faults/tests.rs
@@ -81,3 +81,40 @@
         "{lost}, {doubled}"
     );
 }
+
+#[test]
+fn streams_pass_without_the_lock_until_a_fault_is_put_and_wait_for_a_held_link() {
+    let faults = Faults::new(1);
+    let (a, b) = (place("n0", "z0"), place("n1", "z1"));
+    let preempted = faults.lock();
+    faults.wait_to_pass(LinkKind::Backend, &a, &b, 9);
+    drop(preempted);
+    let hold = Fault {
+        hold: true,
+        ..Fault::default()
+    };
+    faults.put(
+        LinkFault {
+            from: NodeSelector::Node("n0".into()),
+            to: NodeSelector::All,
+            on: LinkKind::Backend,
+            fault: hold,
+            ..LinkFault::default()
+        },
+        None,
+    );
+    let is_healed = AtomicBool::new(false);
+    let (begins, begun) = std::sync::mpsc::channel();
+    std::thread::scope(|scope| {
+        let stream = scope.spawn(|| {
+            begins.send(()).unwrap();
+            faults.wait_to_pass(LinkKind::Backend, &a, &b, 9);
+            is_healed.load(SeqCst)
+        });
+        begun.recv().unwrap();
+        faults.wait_to_pass(LinkKind::Load, &a, &b, 9);
+        is_healed.store(true, SeqCst);
+        faults.heal();
+        assert!(stream.join().unwrap(), "the stream passed a held link");
+    });
+}
