--- a/crates/test-harness/src/fault_scenario/load.rs
+++ b/crates/test-harness/src/fault_scenario/load.rs
@@ -35,7 +35,7 @@
 /// Interval of the requests on each load connection, and the range of their keys.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadRate {
-    /// Mean interval between two requests of one connection.
+    /// Interval between two requests of one connection.
     pub(super) interval: Duration,
     /// Numbers of the first and the last key.
     pub(super) keys: (u64, u64),
@@ -46,8 +46,8 @@
     /// Address at which the fault proxy forwards to the node.
     pub(super) address: SocketAddr,
     pub(super) rate: Arc<Mutex<LoadRate>>,
-    /// Number of the connection, unique in the scenario; the times, paths and keys of the requests
-    /// depend on it and the seed.
+    /// Number of the connection, unique in the scenario; the phase of the requests, and their paths
+    /// and keys, depend on it and the seed.
     pub(super) caller: u64,
     pub(super) seed: u64,
     pub(super) state: Arc<Mutex<NodeState>>,
