--- a/crates/test-harness/src/fault_scenario.rs
+++ b/crates/test-harness/src/fault_scenario.rs
@@ -13,6 +13,7 @@
 mod load;
 mod observe;
 mod outcome;
+mod permit;
 mod process;
 mod steps;
 
@@ -27,6 +28,7 @@
 use crate::scenario::{LinkKind, Scenario};
 use load::LoadRate;
 use observe::Observations;
+use permit::Permit;
 use process::{ScenarioNode, remove_stale_versions, start_service_registry};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -117,6 +119,8 @@
     keys: KeyRecord,
     /// Number of process pauses played so far.
     pause_count: usize,
+    /// Held until the scenario is dropped.
+    _permit: Permit,
 }
 
 /// Returns a loopback address that no other scenario on this machine uses. The address is made of
@@ -186,13 +190,15 @@
 }
 
 impl FaultScenario {
-    /// Creates all peers and proxies and starts the nodes that are not absent at the beginning.
+    /// Waits until fewer scenarios run in this process than the machine has room for, creates all
+    /// peers and proxies and starts the nodes that are not absent at the beginning.
     ///
     /// # Errors
     ///
     /// Returns an error if a socket, file or process cannot be created, or if a process does not
     /// listen within 20 s.
     pub fn start(script: Scenario, setup: ProgramSetup) -> Result<FaultScenario, ScenarioError> {
+        let permit = Permit::acquire();
         let locations = node_locations(&script);
         let faults = Arc::new(Faults::new(script.seed));
         let datagram_proxy = DatagramProxy::start(locations.clone(), Arc::clone(&faults))?;
@@ -226,6 +232,7 @@
             backend,
             keys,
             pause_count: 0,
+            _permit: permit,
         };
         let key: String = AUTH_KEY.iter().map(|b| format!("{b:02x}")).collect();
         scenario.key_file = scenario.write_file("keys", &key)?;
